--- a/packages/membership/src/broadcast-queue.ts
+++ b/packages/membership/src/broadcast-queue.ts
@@ -9,8 +9,8 @@
 }
 
 /**
- * News waiting to be passed on. Each is sent a limited number of times, fewest sent first, as SWIM
- * does (section 4.1); a newer one on the same topic replaces the older.
+ * Updates waiting to be gossiped. Each is sent a limited number of times, those sent least often first, as in
+ * SWIM (section 4.1). A newer update on a topic replaces the older one.
  */
 export class BroadcastQueue {
   readonly #items = new Map<string, Broadcast>();
@@ -20,14 +20,15 @@
   }
 
   /**
-   * @param transmissions how often it is sent in all
-   * @param encode called at each sending, so that ages in the update are current
+   * Queues an update.
+   * @param transmissions returns how many times the update is sent in total
+   * @param encode called for each transmission, so that ages in the update are current
    */
   add(topic: string, transmissions: () => number, encode: () => EncodedUpdate): void {
     this.#items.set(topic, { topic, encode, bytes: encodedSize(encode()), transmissions, sent: 0 });
   }
 
-  /** The updates for one datagram of at most `byteLimit` bytes. */
+  /** Returns updates of at most `byteLimit` bytes for one datagram, and counts one transmission of each. */
   take(byteLimit: number): EncodedUpdate[] {
     if (this.#items.size === 0) return [];
     const ordered = [...this.#items.values()].sort((a, b) => a.sent - b.sent);
--- a/packages/membership/src/codec.ts
+++ b/packages/membership/src/codec.ts
@@ -3,16 +3,20 @@
 import type { MemberIdentity, MemberState } from './member.js';
 
 /**
- * Messages between nodes, as MessagePack arrays. Positions are listed at the schemas; everything that arrives is checked.
- * A node of another build may send what is not known here: more positions than listed are passed over, an update of an unknown code or
- * form by itself, and of a message of an unknown kind its updates count. So a build may add positions at the end, codes and kinds;
- * those of builds before this one drop the whole message for an update that they don't know.
+ * Messages between nodes are MessagePack arrays. The comment above each schema lists its array elements.
+ * Every received message is validated.
+ *
+ * Nodes of other builds may send data that this build does not know. Additional elements at the end of an
+ * array are ignored, an update with an unknown code or format is skipped on its own, and the updates of a
+ * message of unknown kind are still applied. Later builds can therefore append elements and add update codes
+ * and message kinds. Builds older than this rule drop a whole message if it contains an update that they do
+ * not know.
  */
 const text = z.string().max(256);
 const stateCode = z.int().min(0).max(4);
 const STATES: readonly MemberState[] = ['alive', 'suspect', 'draining', 'dead', 'left'];
 
-/** [0, id, incarnation, state, age of the suspicion in ms] */
+/** [0, id, incarnation, state, suspicionAgeMs] */
 const memberStateUpdate = z
   .tuple([z.literal(0), text, z.int().min(0), stateCode, z.int().min(0)])
   .rest(z.unknown());
@@ -34,40 +38,43 @@
   .rest(z.unknown());
 /** [2, owner, key, version, value] */
 const recordUpdate = z.tuple([z.literal(2), text, text, z.number().min(0), z.unknown()]).rest(z.unknown());
-/** [3, id, incarnation, state, highest version of its records] */
+/** [3, id, incarnation, state, recordVersion] */
 const versionUpdate = z
   .tuple([z.literal(3), text, z.int().min(0), stateCode, z.number().min(0)])
   .rest(z.unknown());
-type EncodedNews =
+type ValidatedUpdate =
   | z.infer<typeof memberStateUpdate>
   | z.infer<typeof memberUpdate>
   | z.infer<typeof recordUpdate>
   | z.infer<typeof versionUpdate>;
-/** By the first position. To try one schema after the other took most of the time that a datagram costs. */
-const UPDATE_SCHEMAS: readonly z.ZodType<EncodedNews>[] = [
+/**
+ * Schemas by update code, the first array element. Trying one schema after another took most of the time
+ * spent on a datagram.
+ */
+const UPDATE_SCHEMAS: readonly z.ZodType<ValidatedUpdate>[] = [
   memberStateUpdate,
   memberUpdate,
   recordUpdate,
   versionUpdate,
 ];
-const MOST_UPDATES = 2000;
+const MAX_UPDATES = 2000;
 
-/** [kind, sender, sender's revision, sequence, target, updates] */
+/** [kind, sender, revision, sequence, target, updates] */
 const message = z
-  .tuple([text, text, z.int().min(0), z.int().min(0), text, z.array(z.unknown()).max(MOST_UPDATES)])
+  .tuple([text, text, z.int().min(0), z.int().min(0), text, z.array(z.unknown()).max(MAX_UPDATES)])
   .rest(z.unknown());
 
-/** News about a member without its addresses. */
+/** The state of a member without its addresses. */
 export interface MemberStateUpdate {
   readonly kind: 'member-state';
   readonly id: string;
   readonly incarnation: number;
   readonly state: MemberState;
-  /** How long ago the suspicion began, so that all nodes end it at about the same time. */
+  /** How long ago the suspicion began, so that it expires on all nodes at about the same time. */
   readonly suspicionAgeMs: number;
 }
 
-/** News about a member with all that it tells of itself. */
+/** The state of a member with its full identity. */
 export interface MemberUpdate {
   readonly kind: 'member';
   readonly identity: MemberIdentity;
@@ -75,7 +82,7 @@
   readonly state: MemberState;
 }
 
-/** A value published by one node under a key; the highest version holds. */
+/** A value published by one node under a key. The highest version takes precedence. */
 export interface RecordUpdate {
   readonly kind: 'record';
   readonly owner: string;
@@ -84,7 +91,9 @@
   readonly value: unknown;
 }
 
-/** What a node knows of another, without the content: for comparing. */
+/**
+ * The versions that a node knows of a member and its records, used to compare state without sending contents.
+ */
 export interface VersionUpdate {
   readonly kind: 'version';
   readonly id: string;
@@ -93,6 +102,7 @@
   readonly recordVersion: number;
 }
 
+/** One decoded entry of a message. */
 export type Update = MemberStateUpdate | MemberUpdate | RecordUpdate | VersionUpdate;
 
 const MESSAGE_KINDS = [
@@ -110,12 +120,12 @@
 
 const KIND_BY_NAME: ReadonlyMap<string, MessageKind> = new Map(MESSAGE_KINDS.map((kind) => [kind, kind]));
 
-/** What one datagram said. */
+/** The content of one datagram. */
 export interface DecodedMessage {
   readonly message: GossipMessage;
   readonly updates: readonly Update[];
-  /** What is not known here: updates of an unknown code or form, and 1 for an unknown kind of message. */
-  readonly unread: number;
+  /** Number of updates with an unknown code or format, plus 1 if the message kind is unknown. */
+  readonly unrecognisedCount: number;
 }
 
 export interface GossipMessage {
@@ -124,32 +134,41 @@
   /** Configuration revision in force at the sender. */
   readonly revision: number;
   readonly sequence: number;
-  /** Member to probe, for `ping-request`; digest text, for `digest`; otherwise empty. */
+  /** The address to probe for `ping-request`, the state digest for `digest`, otherwise empty. */
   readonly target: string;
   readonly updates: readonly EncodedUpdate[];
 }
 
-/** An update in the form in which it is sent. */
+/** An update as the array that is sent. */
 export type EncodedUpdate = readonly unknown[];
 
-export function encodeUpdate(news: Update): EncodedUpdate {
-  switch (news.kind) {
+export function encodeUpdate(update: Update): EncodedUpdate {
+  switch (update.kind) {
     case 'member-state':
-      return [0, news.id, news.incarnation, STATES.indexOf(news.state), Math.round(news.suspicionAgeMs)];
+      return [
+        0,
+        update.id,
+        update.incarnation,
+        STATES.indexOf(update.state),
+        Math.round(update.suspicionAgeMs),
+      ];
     case 'member': {
-      const { id, zone, region, gossip, peerUrl, callerUrl, processToken, capacity } = news.identity;
-      const head = [1, id, news.incarnation, STATES.indexOf(news.state)];
+      const { id, zone, region, gossip, peerUrl, callerUrl, processToken, capacity } = update.identity;
+      const head = [1, id, update.incarnation, STATES.indexOf(update.state)];
       return [...head, zone, region, gossip, peerUrl, callerUrl, processToken, capacity];
     }
     case 'record':
-      return [2, news.owner, news.key, news.version, news.value];
+      return [2, update.owner, update.key, update.version, update.value];
     case 'version':
-      return [3, news.id, news.incarnation, STATES.indexOf(news.state), news.recordVersion];
+      return [3, update.id, update.incarnation, STATES.indexOf(update.state), update.recordVersion];
   }
 }
 
-/** A version below all others: whoever knows the member answers with all that it knows of it. */
-export function askFor(id: string): EncodedUpdate {
+/**
+ * Asks for everything that the receiver knows about a member: a version update lower than any real one, which
+ * a receiver that knows the member answers with its full identity and all its records.
+ */
+export function encodeMemberQuery(id: string): EncodedUpdate {
   return encodeUpdate({ kind: 'version', id, incarnation: 0, state: 'alive', recordVersion: 0 });
 }
 
@@ -168,7 +187,7 @@
   ]);
 }
 
-/** The message and its updates, or undefined when the bytes are no message. Never throws. */
+/** Decodes a datagram; undefined if the bytes are not a valid message. Never throws. */
 export function decodeMessage(bytes: Uint8Array): DecodedMessage | undefined {
   let value: unknown;
   try {
@@ -178,36 +197,36 @@
   }
   const checked = message.safeParse(value);
   if (!checked.success) return undefined;
-  const [told, sender, revision, sequence, target, encoded] = checked.data;
-  const kind = KIND_BY_NAME.get(told);
-  const updates: EncodedNews[] = [];
+  const [kindName, sender, revision, sequence, target, encoded] = checked.data;
+  const kind = KIND_BY_NAME.get(kindName);
+  const updates: ValidatedUpdate[] = [];
   for (const entry of encoded) {
-    const news = checkUpdate(entry);
-    if (news !== undefined) updates.push(news);
+    const update = validateUpdate(entry);
+    if (update !== undefined) updates.push(update);
   }
   return {
-    // A message of an unknown kind asks for nothing that could be done here.
+    // A message of unknown kind is handled as `gossip`: its updates are applied and nothing is answered.
     message: { kind: kind ?? 'gossip', sender, revision, sequence, target, updates },
     updates: updates.map(decodeUpdate),
-    unread: encoded.length - updates.length + (kind === undefined ? 1 : 0),
+    unrecognisedCount: encoded.length - updates.length + (kind === undefined ? 1 : 0),
   };
 }
 
-function checkUpdate(entry: unknown): EncodedNews | undefined {
+function validateUpdate(entry: unknown): ValidatedUpdate | undefined {
   const code: unknown = Array.isArray(entry) ? entry[0] : undefined;
   const schema = typeof code === 'number' ? UPDATE_SCHEMAS[code] : undefined;
   return schema?.safeParse(entry).data;
 }
 
-function decodeUpdate(encoded: EncodedNews): Update {
+function decodeUpdate(encoded: ValidatedUpdate): Update {
   switch (encoded[0]) {
     case 0: {
       const [, id, incarnation, state, suspicionAgeMs] = encoded;
       return { kind: 'member-state', id, incarnation, state: STATES[state] ?? 'alive', suspicionAgeMs };
     }
     case 1: {
-      const [, id, incarnation, state, ...told] = encoded;
-      const [zone, region, gossip, peerUrl, callerUrl, processToken, capacity] = told;
+      const [, id, incarnation, state, ...identityFields] = encoded;
+      const [zone, region, gossip, peerUrl, callerUrl, processToken, capacity] = identityFields;
       const identity = { id, zone, region, gossip, peerUrl, callerUrl, processToken, capacity };
       return { kind: 'member', identity, incarnation, state: STATES[state] ?? 'alive' };
     }
--- a/packages/membership/src/datagram-transport.ts
+++ b/packages/membership/src/datagram-transport.ts
@@ -1,8 +1,8 @@
-/** Unreliable datagrams between nodes. Addresses are `IP:port`. */
+/** Sends and receives unreliable datagrams. Addresses have the form `IP:port`. */
 export interface DatagramTransport {
   readonly localAddress: string;
   send(address: string, bytes: Uint8Array): void;
-  /** Sets the receiver; there is one. */
+  /** Sets the function that receives datagrams. Called once per transport. */
   onMessage(receiver: (fromAddress: string, bytes: Uint8Array) => void): void;
   close(): void;
 }
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,4 +1,4 @@
-/** Which nodes are alive, what each publishes about itself, and calls between them. */
+/** Membership of the fleet, gossip of the records that nodes publish, and RPC calls between nodes. */
 export { Membership, type MembershipOptions, type MembershipEvents } from './membership.js';
 export { DEFAULT_MEMBERSHIP_TIMING, type MembershipTiming } from './timing.js';
 export type { Member, MemberIdentity, MemberState } from './member.js';
--- a/packages/membership/src/member-table.ts
+++ b/packages/membership/src/member-table.ts
@@ -1,30 +1,36 @@
 import type { Clock, Timer } from '@canvasridge/clock';
 import { isPresent, overrides, type Member, type MemberIdentity, type MemberState } from './member.js';
 
+/** The mutable state of one member. */
 interface Entry {
-  /** What callers are given; made anew when something changes. */
+  /** Cached result of `toMember`; undefined after a change. */
   member: Member | undefined;
   identity: MemberIdentity;
   incarnation: number;
   state: MemberState;
-  /** When the present incarnation was first heard of. */
-  incarnationAtMs: number;
+  /** When this node first learnt of the current incarnation. */
+  incarnationSeenAtMs: number;
   suspectedAtMs: number;
+  /** When the member became dead or left; 0 while it is present. */
   removedAtMs: number;
-  expiry: Timer | undefined;
+  /** Declares a suspected member dead when its time to refute is over. */
+  suspicionTimer: Timer | undefined;
 }
 
 export interface MemberTableOptions {
   readonly clock: Clock;
+  /** How long a suspected member has to refute before it is declared dead. */
   readonly suspicionMs: number;
-  readonly forgetMs: number;
+  /** How long dead and departed members are kept. */
+  readonly removedRetentionMs: number;
   /** Called after each change of a member's state or identity. */
   readonly onChange: (member: Member, before: MemberState | undefined) => void;
 }
 
 /**
- * What this node believes of every other member, merged by incarnation and state. Lists of members are kept until
- * something changes: they are asked for with each message, and to build them takes time in proportion to the fleet.
+ * What this node believes about every other member, merged by incarnation and state. Lists of members are
+ * cached until something changes, because every message needs them and building one takes time proportional
+ * to the fleet size.
  */
 export class MemberTable {
   readonly #options: MemberTableOptions;
@@ -42,7 +48,7 @@
     return entry === undefined ? undefined : toMember(entry);
   }
 
-  /** Rises with each change of any member. */
+  /** Incremented at every change of any member. */
   get version(): number {
     return this.#version;
   }
@@ -53,39 +59,46 @@
     return this.#present;
   }
 
+  /** All known members, including dead and departed ones. */
   all(): readonly Member[] {
     this.#all ??= [...this.#entries.values()].map(toMember);
     return this.#all;
   }
 
+  /** How long a member has been suspected, in milliseconds; 0 if it is not suspected. */
   suspicionAgeMs(id: string): number {
     const entry = this.#entries.get(id);
     return entry?.state === 'suspect' ? this.#options.clock.now() - entry.suspectedAtMs : 0;
   }
 
-  /** How long the present incarnation of a member has been known, in milliseconds; 0 for an unknown member. */
+  /**
+   * How long this node has known the current incarnation of a member, in milliseconds; 0 if the member is
+   * unknown.
+   */
   incarnationAgeMs(id: string): number {
     const entry = this.#entries.get(id);
-    return entry === undefined ? 0 : this.#options.clock.now() - entry.incarnationAtMs;
+    return entry === undefined ? 0 : this.#options.clock.now() - entry.incarnationSeenAtMs;
   }
 
-  /** News with addresses: may add a member. Returns whether anything changed. */
+  /**
+   * Merges an update that has the full identity, which may add the member. Returns whether anything changed.
+   */
   mergeMember(identity: MemberIdentity, incarnation: number, state: MemberState): boolean {
     const entry = this.#entries.get(identity.id);
     if (entry === undefined) {
       if (!isPresent(state)) return false;
-      const added: Entry = {
+      const newEntry: Entry = {
         member: undefined,
         identity,
         incarnation,
         state,
-        incarnationAtMs: this.#options.clock.now(),
+        incarnationSeenAtMs: this.#options.clock.now(),
         suspectedAtMs: 0,
         removedAtMs: 0,
-        expiry: undefined,
+        suspicionTimer: undefined,
       };
-      this.#entries.set(identity.id, added);
-      this.#changed(added, undefined, 0);
+      this.#entries.set(identity.id, newEntry);
+      this.#entryChanged(newEntry, undefined, 0);
       return true;
     }
     if (!overrides(incarnation, state, entry)) return false;
@@ -94,7 +107,10 @@
     return true;
   }
 
-  /** News without addresses, about a member that may be unknown. Returns whether anything changed. */
+  /**
+   * Merges an update without addresses. An update about an unknown member is ignored. Returns whether
+   * anything changed.
+   */
   mergeState(id: string, incarnation: number, state: MemberState, suspicionAgeMs: number): boolean {
     const entry = this.#entries.get(id);
     if (entry === undefined || !overrides(incarnation, state, entry)) return false;
@@ -102,39 +118,39 @@
     return true;
   }
 
-  /** Forgets members that went away long ago; returns their names. */
-  forgetOld(): string[] {
+  /** Removes members that died or left at least `removedRetentionMs` ago; returns their ids. */
+  removeExpired(): string[] {
     const nowMs = this.#options.clock.now();
-    const forgotten: string[] = [];
+    const removedIds: string[] = [];
     for (const [id, entry] of this.#entries) {
-      if (isPresent(entry.state) || nowMs - entry.removedAtMs < this.#options.forgetMs) continue;
+      if (isPresent(entry.state) || nowMs - entry.removedAtMs < this.#options.removedRetentionMs) continue;
       this.#entries.delete(id);
-      this.#outdateLists();
-      forgotten.push(id);
+      this.#invalidateLists();
+      removedIds.push(id);
     }
-    return forgotten;
+    return removedIds;
   }
 
   #setState(entry: Entry, incarnation: number, state: MemberState, suspicionAgeMs: number): void {
     const before = entry.state;
-    if (incarnation !== entry.incarnation) entry.incarnationAtMs = this.#options.clock.now();
+    if (incarnation !== entry.incarnation) entry.incarnationSeenAtMs = this.#options.clock.now();
     entry.incarnation = incarnation;
     entry.state = state;
-    this.#changed(entry, before, suspicionAgeMs);
+    this.#entryChanged(entry, before, suspicionAgeMs);
   }
 
-  #outdateLists(): void {
+  #invalidateLists(): void {
     this.#all = undefined;
     this.#present = undefined;
     this.#version += 1;
   }
 
-  #changed(entry: Entry, before: MemberState | undefined, suspicionAgeMs: number): void {
+  #entryChanged(entry: Entry, before: MemberState | undefined, suspicionAgeMs: number): void {
     const nowMs = this.#options.clock.now();
     entry.member = undefined;
-    this.#outdateLists();
-    entry.expiry?.cancel();
-    entry.expiry = undefined;
+    this.#invalidateLists();
+    entry.suspicionTimer?.cancel();
+    entry.suspicionTimer = undefined;
     if (!isPresent(entry.state)) entry.removedAtMs = nowMs;
     if (entry.state === 'suspect') this.#startSuspicion(entry, nowMs - suspicionAgeMs);
     this.#options.onChange(toMember(entry), before);
@@ -144,8 +160,8 @@
     entry.suspectedAtMs = suspectedAtMs;
     const leftMs = this.#options.suspicionMs - (this.#options.clock.now() - suspectedAtMs);
     const { incarnation } = entry;
-    entry.expiry = this.#options.clock.setTimer(leftMs, () => {
-      // A refutation raises the incarnation and withdraws this timer, so the suspicion still stands here.
+    entry.suspicionTimer = this.#options.clock.setTimer(leftMs, () => {
+      // A refutation increases the incarnation and cancels this timer, so the suspicion is still valid here.
       if (entry.state === 'suspect') this.#setState(entry, incarnation, 'dead', 0);
     });
   }
--- a/packages/membership/src/member.ts
+++ b/packages/membership/src/member.ts
@@ -1,37 +1,40 @@
-/** What a node tells the others about itself. Fixed for the life of the process. */
+/** What a node announces about itself. Does not change while the process runs. */
 export interface MemberIdentity {
   readonly id: string;
   readonly zone: string;
   readonly region: string;
-  /** UDP address of this protocol, `IP:port`. */
+  /** UDP address for membership messages, as `IP:port`. */
   readonly gossip: string;
-  /** Where peers send JSON-RPC and forwarded requests. */
+  /** Base URL to which peers send JSON-RPC calls and forwarded requests. */
   readonly peerUrl: string;
-  /** Where callers connect. */
+  /** Base URL to which callers connect. */
   readonly callerUrl: string;
-  /** Random per process start: tells a restarted process from the one before it. */
+  /** Random value chosen at each start, which distinguishes a restarted process from its predecessor. */
   readonly processToken: string;
-  /** Processor time that the node may use, in cores of the usual speed; 0 if it does not tell. */
+  /**
+   * CPU capacity available to the node, in cores of the reference speed; 0 if the node does not announce it.
+   */
   readonly capacity: number;
 }
 
-/** `left` was announced by the member itself, `dead` was concluded by others. */
+/** State of a member. A member announces `left` itself; `dead` is concluded by other members. */
 export type MemberState = 'alive' | 'suspect' | 'draining' | 'dead' | 'left';
 
-/** A member as this node believes it to be. */
+/** What this node currently believes about a member. */
 export interface Member extends MemberIdentity {
   readonly incarnation: number;
   readonly state: MemberState;
 }
 
-/** States in which a member takes part in the protocol. */
+/** Whether a member in this state still takes part in the protocol. */
 export function isPresent(state: MemberState): boolean {
   return state === 'alive' || state === 'suspect' || state === 'draining';
 }
 
 /**
- * Order of claims about one member within one incarnation (SWIM, section 4.2): a later one overrides.
- * `draining` stands above `suspect`: a member announces it itself with a new incarnation.
+ * Precedence of states within one incarnation of a member (SWIM, section 4.2): a higher rank overrides a
+ * lower one. A draining member can therefore be suspected within its incarnation. A member announces
+ * `draining` itself with a new incarnation, so the announcement overrides an earlier suspicion.
  */
 const STATE_RANK: Readonly<Record<MemberState, number>> = {
   alive: 0,
@@ -41,7 +44,7 @@
   left: 4,
 };
 
-/** Whether (`incarnation`, `state`) overrides what is known. */
+/** Whether an update with this incarnation and state overrides what is known about the member. */
 export function overrides(
   incarnation: number,
   state: MemberState,
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -2,7 +2,7 @@
 import type { Telemetry } from '@canvasridge/telemetry';
 import { BroadcastQueue } from './broadcast-queue.js';
 import {
-  askFor,
+  encodeMemberQuery,
   decodeMessage,
   encodeMessage,
   encodeUpdate,
@@ -15,15 +15,16 @@
 import { isPresent, type Member, type MemberIdentity, type MemberState } from './member.js';
 import { MemberTable } from './member-table.js';
 import { RecordTable, type PublishedRecord } from './record-table.js';
-import { StateComparison, inBatches } from './state-comparison.js';
+import { StateComparison, splitIntoBatches } from './state-comparison.js';
 import { DEFAULT_MEMBERSHIP_TIMING, type MembershipTiming } from './timing.js';
 
-/** What a node wants to hear from its membership. */
+/** Callbacks for changes that this node learns of. */
 export interface MembershipEvents {
-  /** A member's state changed; `before` is undefined for a new one. */
+  /** A member's state or identity changed; `before` is its previous state, undefined for a new member. */
   onMember?(member: Member, before: MemberState | undefined): void;
-  /** A peer has a configuration revision, seen on any message of it. */
+  /** Called for each message of a known member with the configuration revision that the message carries. */
   onRevision?(member: Member, revision: number): void;
+  /** A record of another node was added or replaced. */
   onRecord?(record: PublishedRecord): void;
 }
 
@@ -34,36 +35,44 @@
   readonly random: Random;
   readonly telemetry: Telemetry;
   readonly events: MembershipEvents;
-  /** Addresses to contact while no member is known: from settings and from the machine list. */
+  /** Addresses through which to join, from the settings and the machine list. */
   readonly seeds: () => readonly string[];
-  /** Configuration revision in force here. */
+  /** Configuration revision in force on this node, sent with each message. */
   readonly revision: () => number;
   readonly timing?: MembershipTiming;
 }
 
-const TRANSMISSION_FACTOR = 3;
+/** Transmissions of an update about a member, in addition to the logarithm of the number of members. */
+const BASE_TRANSMISSIONS = 3;
 const RECORD_TRANSMISSIONS = 4;
-/** Members with which a node that was cut off compares what it knows: one of them may be behind as well. */
-const COMPARED_AT_ONCE = 3;
+/**
+ * How many members a node compares its state with after it was cut off. One of them may be outdated as well.
+ */
+const COMPARISON_PARTNERS = 3;
+/** Age of a suspicion that begins now, and of a state that is not a suspicion. */
 const ZERO_AGE = 0;
-/** A connection attempt began this long before its refusal is told, at the most. */
-const REFUSAL_AGE_MS = 600;
-const PAUSE_FACTOR = 3;
-/** Time between two lines about what one sender says that is not known here. */
-const UNREAD_LINE_PERIOD_MS = 60_000;
-/** More than a fleet has members, so that ids that change don't add up. */
-const MOST_UNREAD_SENDERS = 1024;
+/** Maximum time between the start of a connection attempt and the report that it was refused. */
+const MAX_REFUSAL_DELAY_MS = 600;
+/** A gap of this many probe periods between two probes means that this process was paused. */
+const PAUSE_PROBE_PERIODS = 3;
+/** Minimum time between two log lines about unrecognised data from the same sender. */
+const UNRECOGNISED_LOG_PERIOD_MS = 60_000;
+/** More than a fleet has members. Bounds the map in case sender ids keep changing. */
+const MAX_LOGGED_SENDERS = 1024;
+/** Interval between attempts to join through unknown seeds, after the startup phase. */
 const REJOIN_PERIOD_MS = 8000;
-const START_SPAN_MS = 10_000;
+/** Startup phase, in which this node tries to join in every probe period. */
+const STARTUP_PERIOD_MS = 10_000;
 
 /**
- * SWIM membership (Das, Gupta, Motivala, 2002) with suspicion and incarnations, and gossip of
- * small records. Three tasks run: probing, pushing fresh news, comparing digests.
+ * SWIM membership (Das, Gupta, Motivala, 2002) with suspicion and incarnations, and gossip of small records.
+ * It runs three background tasks: probing members, sending queued updates, and comparing state digests
+ * (anti-entropy).
  */
 export class Membership {
   readonly identity: MemberIdentity;
-  /** By sender: when the last such line was written. */
-  readonly #unreadLinesMs = new Map<string, number>();
+  /** When the last log line about unrecognised data was written, by sender. */
+  readonly #lastUnrecognisedLogMs = new Map<string, number>();
   readonly #options: MembershipOptions;
   readonly #timing: MembershipTiming;
   readonly #clock: Clock;
@@ -72,7 +81,7 @@
   readonly #records = new RecordTable();
   readonly #comparison: StateComparison;
   readonly #queue = new BroadcastQueue();
-  readonly #newsQueued = new Notifier();
+  readonly #updateQueued = new Notifier();
   readonly #awaitedAcks = new Map<number, () => void>();
   readonly #stop = new AbortController();
   #probeOrder: string[] = [];
@@ -94,14 +103,15 @@
     this.#random = options.random;
     this.#lastProbeAtMs = options.clock.now();
     this.#startedAtMs = options.clock.now();
-    // A restarted process must override what is known of the one before: wall time gives it a higher start.
+    // A restarted process must override what others know of its predecessor, so its incarnation and record
+    // version start at the wall time, above those of the predecessor.
     this.#incarnation = Math.floor(options.clock.wallTime() / 1000) + 1;
     this.#recordVersion = Math.floor(options.clock.wallTime());
     this.#table = new MemberTable({
       clock: options.clock,
       suspicionMs: this.#timing.suspicionMs,
-      forgetMs: this.#timing.forgetMs,
-      onChange: (member, before) => this.#memberChanged(member, before),
+      removedRetentionMs: this.#timing.removedRetentionMs,
+      onChange: (member, before) => this.#handleMemberChange(member, before),
     });
     this.#comparison = new StateComparison(this.#table, this.#records, () => this.self());
     options.transport.onMessage((from, bytes) => this.#receive(from, bytes));
@@ -114,14 +124,14 @@
     void this.#synchronisationTask();
   }
 
-  /** Stops all tasks without telling anybody, as a crash would. */
+  /** Stops all tasks without announcing it, as a crash would. */
   stop(): void {
     this.#stop.abort();
-    this.#newsQueued.notify();
+    this.#updateQueued.notify();
     this.#options.transport.close();
   }
 
-  /** Announces that this node takes no new work, yet still serves what it has. */
+  /** Announces that this node accepts no new work but still completes the work it has. */
   drain(): void {
     this.#state = 'draining';
     this.#incarnation += 1;
@@ -129,7 +139,7 @@
     this.#pushToMany();
   }
 
-  /** Announces the departure to several members at once. */
+  /** Announces the departure of this node to several members immediately. */
   leave(): void {
     this.#state = 'left';
     this.#incarnation += 1;
@@ -137,12 +147,12 @@
     this.#pushToMany();
   }
 
-  /** Tells a few members at once, in place of waiting for the next period. */
+  /** Sends queued updates to a few random members immediately. */
   pushNow(): void {
-    for (const member of this.#someMembers(this.#timing.gossipFanout)) this.#send(member.gossip, 'gossip');
+    for (const member of this.#randomMembers(this.#timing.gossipFanout)) this.#send(member.gossip, 'gossip');
   }
 
-  /** Publishes `value` under `key`; it replaces this node's earlier value. */
+  /** Publishes `value` under `key`, replacing the previous value that this node published there. */
   publish(key: string, value: unknown): void {
     this.#recordVersion += 1;
     const update = {
@@ -161,7 +171,7 @@
   }
 
   recordsOf(owner: string): Iterable<PublishedRecord> {
-    return this.#records.of(owner);
+    return this.#records.byOwner(owner);
   }
 
   self(): Member {
@@ -172,12 +182,12 @@
     return member;
   }
 
-  /** A member by name, this node included. */
+  /** The member with this id, which may be this node. */
   get(id: string): Member | undefined {
     return id === this.identity.id ? this.self() : this.#table.get(id);
   }
 
-  /** All members believed present, this node included. The same list is given until something changes. */
+  /** All members believed present, including this node. Returns the same array until something changes. */
   present(): readonly Member[] {
     const others = this.#table.present();
     if (!isPresent(this.#state)) return others;
@@ -189,13 +199,18 @@
     return all;
   }
 
-  /** Probes the member with this peer address at once, as something else made it seem silent. */
+  /**
+   * Probes the member with this peer URL immediately. Called when the member seems unresponsive for another
+   * reason.
+   */
   probeNow(peerUrl: string): void {
-    const target = this.#presentAt(peerUrl);
+    const target = this.#presentByPeerUrl(peerUrl);
     if (target !== undefined) void this.#probe(target);
   }
 
-  /** Asks members whether they are in reach, whatever is believed of them. Gives those that answered in time. */
+  /**
+   * Pings known members regardless of their believed state. Returns those that answered within the timeout.
+   */
   async inReach(ids: readonly string[], timeoutMs: number): Promise<string[]> {
     const answers = await Promise.all(
       ids.map((id) => {
@@ -207,8 +222,8 @@
   }
 
   /**
-   * Compares what is known with members at once, as this node may have missed news that are not told again: those who
-   * believed it gone did not tell it anything.
+   * Starts a comparison of state with these members immediately. This node may have missed updates that are
+   * not sent again, because members that believed it gone sent it nothing.
    */
   compareWith(ids: readonly string[]): void {
     for (const id of ids) {
@@ -218,22 +233,26 @@
   }
 
   /**
-   * The machine of a member refused a connection: its process is gone, and there is nothing to wait for. One
-   * that is wrongly believed dead refutes as after any suspicion.
+   * Reports that the machine of a member refused a connection. The process is gone, so the member is declared
+   * dead without a suspicion period. A member that is wrongly declared dead refutes it as it would refute a
+   * suspicion.
    */
   reportRefused(peerUrl: string): void {
-    const target = this.#presentAt(peerUrl);
+    const target = this.#presentByPeerUrl(peerUrl);
     if (target === undefined) return;
-    // The refusal may have met the process before the one that is known now.
-    if (this.#table.incarnationAgeMs(target.id) < REFUSAL_AGE_MS) return;
+    // The connection may have been refused before the currently known process started.
+    if (this.#table.incarnationAgeMs(target.id) < MAX_REFUSAL_DELAY_MS) return;
     this.#table.mergeState(target.id, target.incarnation, 'dead', ZERO_AGE);
   }
 
-  #presentAt(peerUrl: string): Member | undefined {
+  #presentByPeerUrl(peerUrl: string): Member | undefined {
     return this.#table.present().find((member) => member.peerUrl === peerUrl);
   }
 
-  /** All other members that are known, those that are gone included. The same list is given until something changes. */
+  /**
+   * All other known members, including dead and departed ones. Returns the same array until something
+   * changes.
+   */
   known(): readonly Member[] {
     return this.#table.all();
   }
@@ -244,11 +263,11 @@
     await this.#clock.sleep(this.#random.next() * this.#timing.probePeriodMs, this.#stop.signal);
     while (!this.#stop.signal.aborted) {
       const startedAtMs = this.#clock.now();
-      this.#noticePause(startedAtMs);
+      this.#detectPause(startedAtMs);
       this.#contactSeeds();
       const target = this.#nextProbeTarget();
       if (target !== undefined) void this.#probe(target);
-      for (const forgotten of this.#table.forgetOld()) this.#records.forget(forgotten);
+      for (const removedId of this.#table.removeExpired()) this.#records.removeOwner(removedId);
       this.#lastProbeAtMs = startedAtMs;
       await this.#clock.sleep(this.#timing.probePeriodMs, this.#stop.signal);
     }
@@ -257,7 +276,7 @@
   async #gossipTask(): Promise<void> {
     await this.#clock.sleep(this.#random.next() * this.#timing.gossipPeriodMs, this.#stop.signal);
     while (!this.#stop.signal.aborted) {
-      if (this.#queue.size === 0) await this.#newsQueued.wait();
+      if (this.#queue.size === 0) await this.#updateQueued.wait();
       if (this.#stop.signal.aborted) return;
       this.pushNow();
       await this.#clock.sleep(this.#timing.gossipPeriodMs, this.#stop.signal);
@@ -277,21 +296,25 @@
 
   // --- failure detection -------------------------------------------------------------------------
 
-  /** After a pause all members look silent; none of them must be blamed for it. */
-  #noticePause(nowMs: number): void {
-    if (nowMs - this.#lastProbeAtMs < PAUSE_FACTOR * this.#timing.probePeriodMs) return;
+  /**
+   * After a pause of this process all members seem unresponsive, and none of them must be suspected because
+   * of it.
+   */
+  #detectPause(nowMs: number): void {
+    if (nowMs - this.#lastProbeAtMs < PAUSE_PROBE_PERIODS * this.#timing.probePeriodMs) return;
     this.#awaitedAcks.clear();
     this.#options.telemetry.event('warn', 'membership.paused', this.identity.id, {
       pausedMs: Math.round(nowMs - this.#lastProbeAtMs),
     });
     this.#incarnation += 1;
     this.#announceSelf();
-    // Others go on as if this node had been there, and news that it missed are not told again by themselves.
-    this.compareWith(this.#someMembers(COMPARED_AT_ONCE).map(({ id }) => id));
+    // The others went on meanwhile, and updates that this node missed are not sent again on their own.
+    this.compareWith(this.#randomMembers(COMPARISON_PARTNERS).map(({ id }) => id));
   }
 
   #nextProbeTarget(): Member | undefined {
-    // Round-robin over a shuffled list bounds the time until every member has been probed (SWIM, 4.3).
+    // Round-robin over a shuffled list bounds the time until every member has been probed
+    // (SWIM, section 4.3).
     for (;;) {
       const id = this.#probeOrder.pop();
       if (id === undefined) break;
@@ -306,7 +329,7 @@
   async #probe(target: Member): Promise<void> {
     const startedAtMs = this.#clock.now();
     if (await this.#ping(target.gossip, this.#timing.probeTimeoutMs)) return;
-    const helpers = this.#someMembers(this.#timing.indirectProbes, target.id);
+    const helpers = this.#randomMembers(this.#timing.indirectProbes, target.id);
     const leftMs = this.#timing.probePeriodMs - this.#timing.probeTimeoutMs;
     const answered = this.#awaitAck((sequence) => {
       for (const helper of helpers) this.#send(helper.gossip, 'ping-request', sequence, target.gossip);
@@ -314,7 +337,7 @@
     }, leftMs);
     if (await answered) return;
     if (this.#stop.signal.aborted) return;
-    // A process that slept meanwhile learnt nothing about the target.
+    // If this process was suspended during the probe, the missing answer says nothing about the target.
     if (this.#clock.now() - startedAtMs > 2 * this.#timing.probePeriodMs) return;
     this.#suspect(target);
   }
@@ -352,35 +375,40 @@
     if (this.#stop.signal.aborted) return;
     const decoded = decodeMessage(bytes);
     if (decoded === undefined) return;
-    if (decoded.unread > 0) this.#noteUnread(decoded.message.sender, decoded.unread);
+    if (decoded.unrecognisedCount > 0)
+      this.#logUnrecognised(decoded.message.sender, decoded.unrecognisedCount);
     const incarnation = this.#incarnation;
-    for (const update of decoded.updates) this.#apply(update);
-    // Whoever took this node for gone learns at once that it is not.
+    for (const update of decoded.updates) this.#applyUpdate(update);
+    // If the message made this node refute something about itself, the sender gets the refutation
+    // immediately.
     if (this.#incarnation !== incarnation)
       this.#sendUpdates(from, 'gossip', 0, '', [encodeUpdate(this.#selfUpdate())]);
     this.#answerVersions(from, decoded.updates);
-    this.#answer(from, decoded.message);
+    this.#handleMessage(from, decoded.message);
     const sender = this.#table.get(decoded.message.sender);
     if (sender !== undefined) this.#options.events.onRevision?.(sender, decoded.message.revision);
   }
 
-  /** A sender of another build says more than is known here: one line a sender and minute. */
-  #noteUnread(sender: string, count: number): void {
+  /**
+   * Logs that a sender of another build sends data unknown to this build, at most once a minute for each
+   * sender.
+   */
+  #logUnrecognised(sender: string, count: number): void {
     const nowMs = this.#clock.now();
-    if (nowMs - (this.#unreadLinesMs.get(sender) ?? -Infinity) < UNREAD_LINE_PERIOD_MS) return;
-    this.#unreadLinesMs.set(sender, nowMs);
-    if (this.#unreadLinesMs.size > MOST_UNREAD_SENDERS) this.#unreadLinesMs.clear();
+    if (nowMs - (this.#lastUnrecognisedLogMs.get(sender) ?? -Infinity) < UNRECOGNISED_LOG_PERIOD_MS) return;
+    this.#lastUnrecognisedLogMs.set(sender, nowMs);
+    if (this.#lastUnrecognisedLogMs.size > MAX_LOGGED_SENDERS) this.#lastUnrecognisedLogMs.clear();
     this.#options.telemetry.event('info', 'membership.unread', sender, { count });
   }
 
-  #answer(from: string, message: GossipMessage): void {
+  #handleMessage(from: string, message: GossipMessage): void {
     switch (message.kind) {
       case 'ping':
-        this.#introduceTo(message.sender, from);
+        this.#notifyAbsentSender(message.sender, from);
         this.#send(from, 'ack', message.sequence);
         return;
       case 'ack':
-        this.#introduceTo(message.sender, from);
+        this.#notifyAbsentSender(message.sender, from);
         this.#awaitedAcks.get(message.sequence)?.();
         return;
       case 'ping-request':
@@ -389,7 +417,7 @@
         });
         return;
       case 'join':
-        this.#sendAll(from, 'state', this.#comparison.whole());
+        this.#sendAll(from, 'state', this.#comparison.fullState());
         return;
       case 'digest':
         if (message.target !== this.#comparison.digest())
@@ -403,28 +431,32 @@
   }
 
   /**
-   * A sender that is believed gone is told so, and refutes. One that is not known here learns of this node and is asked for itself:
-   * where all seeds have started again, nobody else would tell of one that stayed, and members that compare look only at those that
-   * the other side names. Two nodes led the same engines for a minute without it.
+   * Handles a sender that is not present in the member table. A sender believed gone is sent that belief, so
+   * that it refutes it. An unknown sender is sent this node's identity and asked for its own: if all seeds
+   * have restarted, no other node announces a member that kept running, and a state comparison covers only
+   * the members that the other side lists. Without this, two nodes led the same engines for a minute.
    */
-  #introduceTo(sender: string, address: string): void {
+  #notifyAbsentSender(sender: string, address: string): void {
     const known = this.#table.get(sender);
     if (known !== undefined && isPresent(known.state)) return;
     if (known === undefined) {
-      this.#sendUpdates(address, 'gossip', 0, '', [encodeUpdate(this.#selfUpdate()), askFor(sender)]);
+      this.#sendUpdates(address, 'gossip', 0, '', [
+        encodeUpdate(this.#selfUpdate()),
+        encodeMemberQuery(sender),
+      ]);
       return;
     }
-    const verdict = encodeUpdate({
+    const believedState = encodeUpdate({
       kind: 'member-state',
       id: sender,
       incarnation: known.incarnation,
       state: known.state,
       suspicionAgeMs: ZERO_AGE,
     });
-    this.#sendUpdates(address, 'gossip', 0, '', [verdict]);
+    this.#sendUpdates(address, 'gossip', 0, '', [believedState]);
   }
 
-  #apply(update: Update): void {
+  #applyUpdate(update: Update): void {
     switch (update.kind) {
       case 'member':
         if (update.identity.id === this.identity.id)
@@ -445,7 +477,8 @@
 
   #applyRecord(update: Update & { kind: 'record' }): void {
     if (update.owner === this.identity.id) {
-      // Left over from the process before this one: go above it, so that news of this one prevail.
+      // Published by the previous process of this node. Continue above its version, so that new records
+      // override it.
       this.#recordVersion = Math.max(this.#recordVersion, update.version);
       return;
     }
@@ -454,7 +487,10 @@
     this.#options.events.onRecord?.(update);
   }
 
-  /** Answers news about this node itself that are wrong or older than it. */
+  /**
+   * Refutes a received claim about this node that is wrong or describes an earlier process, by announcing a
+   * higher incarnation.
+   */
   #refute(incarnation: number, state: MemberState, identity: MemberIdentity): void {
     if (this.#state === 'left') return;
     const sameProcess = identity.processToken === this.identity.processToken;
@@ -462,12 +498,12 @@
     if (incarnation < this.#incarnation || (incarnation === this.#incarnation && agrees)) return;
     this.#incarnation = incarnation + 1;
     this.#announceSelf();
-    if (state === 'dead') this.compareWith(this.#someMembers(COMPARED_AT_ONCE).map(({ id }) => id));
+    if (state === 'dead') this.compareWith(this.#randomMembers(COMPARISON_PARTNERS).map(({ id }) => id));
   }
 
   // --- sending -----------------------------------------------------------------------------------
 
-  #memberChanged(member: Member, before: MemberState | undefined): void {
+  #handleMemberChange(member: Member, before: MemberState | undefined): void {
     if (before === undefined || before !== member.state) {
       this.#options.telemetry.event('info', 'membership.changed', member.id, {
         state: member.state,
@@ -502,18 +538,18 @@
 
   #enqueue(topic: string, transmissions: () => number, encode: () => EncodedUpdate): void {
     this.#queue.add(topic, transmissions, encode);
-    this.#newsQueued.notify();
+    this.#updateQueued.notify();
   }
 
   readonly #transmissions = (): number =>
-    TRANSMISSION_FACTOR + Math.ceil(Math.log2(this.#table.present().length + 2));
+    BASE_TRANSMISSIONS + Math.ceil(Math.log2(this.#table.present().length + 2));
 
-  /** Different members by chance, at most `count`. */
-  #someMembers(count: number, except = ''): Member[] {
+  /** Up to `count` distinct random present members, excluding the one with the id `except`. */
+  #randomMembers(count: number, except = ''): Member[] {
     const candidates = this.#table.present();
     const chosen = new Set<Member>();
-    const most = Math.min(count, candidates.filter((member) => member.id !== except).length);
-    while (chosen.size < most) {
+    const limit = Math.min(count, candidates.filter((member) => member.id !== except).length);
+    while (chosen.size < limit) {
       const member = this.#random.pick(candidates);
       if (member !== undefined && member.id !== except) chosen.add(member);
     }
@@ -521,20 +557,21 @@
   }
 
   #pushToMany(): void {
-    const many = Math.min(this.#table.present().length, 2 * this.#transmissions());
-    for (const member of this.#someMembers(many)) this.#send(member.gossip, 'gossip');
+    const fanout = Math.min(this.#table.present().length, 2 * this.#transmissions());
+    for (const member of this.#randomMembers(fanout)) this.#send(member.gossip, 'gossip');
   }
 
   /**
-   * Joins through a listed address that is not known as a member: at the start, and after a partition
-   * in which both sides gave each other up. Nodes that start together may first form several groups, so
-   * a young one asks in each period; later this is seldom, since a gone machine may stay listed for long.
+   * Joins through a seed address that no present member has: at startup, and after a partition in which both
+   * sides declared each other dead. Nodes that start together may first form several groups, so a node tries
+   * in every probe period during startup. Later it tries less often, because a machine that is gone may stay
+   * listed for a long time.
    */
   #contactSeeds(): void {
     const nowMs = this.#clock.now();
     const alone = this.#table.present().length === 0;
     if (!alone && nowMs < this.#nextJoinAtMs) return;
-    const starting = nowMs - this.#startedAtMs < START_SPAN_MS;
+    const starting = nowMs - this.#startedAtMs < STARTUP_PERIOD_MS;
     this.#nextJoinAtMs = nowMs + (starting ? 0 : jittered(REJOIN_PERIOD_MS, this.#random));
     const known = new Set(this.#table.present().map((member) => member.gossip));
     const unknown = this.#options
@@ -546,8 +583,9 @@
     this.#sendUpdates(seed, 'join', 0, '', [self]);
   }
 
+  /** Sends a message that carries queued updates. */
   #send(address: string, kind: MessageKind, sequence = 0, target = ''): void {
-    const updates = this.#queue.take(this.#timing.datagramBytes);
+    const updates = this.#queue.take(this.#timing.maxUpdateBytes);
     this.#sendUpdates(address, kind, sequence, target, updates);
   }
 
@@ -563,13 +601,15 @@
     this.#options.transport.send(address, encodeMessage(message));
   }
 
-  /** Sends updates in as many datagrams as they need. */
+  /** Sends all updates, in as many datagrams as needed. */
   #sendAll(address: string, kind: MessageKind, updates: readonly EncodedUpdate[]): void {
-    for (const batch of inBatches(updates, this.#timing.datagramBytes))
+    for (const batch of splitIntoBatches(updates, this.#timing.maxUpdateBytes))
       this.#sendUpdates(address, kind, 0, '', batch);
   }
 
-  /** Answers a list of versions with what is newer here, and with a list of what is newer there. */
+  /**
+   * Answers version updates: sends what is newer on this node and asks for what is newer on the other node.
+   */
   #answerVersions(from: string, updates: readonly Update[]): void {
     const { newerHere, newerThere } = this.#comparison.compare(updates);
     if (newerHere.length > 0) this.#sendAll(from, 'state', newerHere);
@@ -577,7 +617,10 @@
   }
 }
 
-/** Records are hints for routing: a few forwards reach nearly all nodes, comparing repairs the rest. */
+/**
+ * Records are only routing hints: a few transmissions reach nearly all nodes, and state comparison delivers
+ * them to the rest.
+ */
 function recordTransmissions(): number {
   return RECORD_TRANSMISSIONS;
 }
--- a/packages/membership/src/peer-caller.ts
+++ b/packages/membership/src/peer-caller.ts
@@ -4,13 +4,13 @@
 import { Agent, request } from 'undici';
 import type { z } from 'zod';
 
-/** Why a call to a peer gave no answer. */
+/** Why a call to a peer returned no valid answer. */
 export type PeerCallError =
   | { readonly kind: 'unreachable'; readonly peerUrl: string; readonly detail: string }
   | { readonly kind: 'refused'; readonly peerUrl: string; readonly code: number; readonly detail: string }
   | { readonly kind: 'malformed-answer'; readonly peerUrl: string; readonly detail: string };
 
-/** Calls methods of peers. */
+/** Calls JSON-RPC methods of peers. */
 export interface PeerCaller {
   call<T>(
     peerUrl: string,
@@ -21,7 +21,10 @@
   ): Promise<Result<T, PeerCallError>>;
 }
 
-/** Checks an answer against its schema; shared by every {@link PeerCaller}. */
+/**
+ * Validates a JSON-RPC response against the schema of the answer. Shared by all {@link PeerCaller}
+ * implementations.
+ */
 export function readAnswer<T>(
   peerUrl: string,
   response: JSONRPCResponse,
@@ -35,7 +38,7 @@
   return err({ kind: 'malformed-answer', peerUrl, detail: checked.error.message });
 }
 
-/** JSON-RPC over HTTP POST with kept-alive connections. */
+/** Calls peers by JSON-RPC over HTTP POST, on persistent connections. */
 export class HttpPeerCaller implements PeerCaller {
   readonly #agent = new Agent({ connections: 64, keepAliveTimeout: 20_000 });
   readonly #clock: Clock;
--- a/packages/membership/src/peer-rpc-server.ts
+++ b/packages/membership/src/peer-rpc-server.ts
@@ -1,9 +1,11 @@
 import { isJSONRPCRequest, JSONRPCErrorException, JSONRPCServer, type JSONRPCResponse } from 'json-rpc-2.0';
 import type { z } from 'zod';
 
-/** Methods that peers may call, by JSON-RPC 2.0. Parameters are checked before a handler sees them. */
+/**
+ * Serves the methods that peers may call by JSON-RPC 2.0. Parameters are validated before the handler runs.
+ */
 export class PeerRpcServer {
-  // The library's listener would print to the console; errors travel back to the caller instead.
+  // The library's default listener prints errors to the console; here they are only returned to the caller.
   readonly #server = new JSONRPCServer({ errorListener: () => undefined });
 
   register<Params, Answer>(
@@ -18,7 +20,7 @@
     });
   }
 
-  /** Runs one request; undefined when `payload` is none. */
+  /** Handles one request; undefined if `payload` is not a JSON-RPC request or needs no response. */
   async receive(payload: unknown): Promise<JSONRPCResponse | undefined> {
     if (!isJSONRPCRequest(payload)) return undefined;
     return (await this.#server.receive(payload)) ?? undefined;
--- a/packages/membership/src/record-table.ts
+++ b/packages/membership/src/record-table.ts
@@ -1,6 +1,6 @@
 import type { RecordUpdate } from './codec.js';
 
-/** A value published by a node. */
+/** A value published by a node under a key. */
 export interface PublishedRecord {
   readonly owner: string;
   readonly key: string;
@@ -8,17 +8,17 @@
   readonly value: unknown;
 }
 
-/** The newest value of each key of each node. */
+/** The newest known value of each key of each node. */
 export class RecordTable {
   readonly #byOwner = new Map<string, Map<string, PublishedRecord>>();
   #version = 0;
 
-  /** Rises with each change of any record. */
+  /** Incremented at every change to the table; unrelated to the versions of records. */
   get version(): number {
     return this.#version;
   }
 
-  /** Takes an update over if it is newer; returns whether it was. */
+  /** Stores an update if it is newer than the known record; returns whether it was. */
   merge(update: RecordUpdate): boolean {
     let records = this.#byOwner.get(update.owner);
     if (records === undefined) {
@@ -37,7 +37,8 @@
     return true;
   }
 
-  forget(owner: string): void {
+  /** Removes all records of a node. */
+  removeOwner(owner: string): void {
     if (this.#byOwner.delete(owner)) this.#version += 1;
   }
 
@@ -45,14 +46,14 @@
     for (const records of this.#byOwner.values()) yield* records.values();
   }
 
-  of(owner: string): Iterable<PublishedRecord> {
+  byOwner(owner: string): Iterable<PublishedRecord> {
     return this.#byOwner.get(owner)?.values() ?? [];
   }
 
-  /** Highest version among the records of one owner, 0 for none. */
+  /** Highest version among the records of one owner; 0 if it has none. */
   highestVersion(owner: string): number {
     let highest = 0;
-    for (const record of this.of(owner)) highest = Math.max(highest, record.version);
+    for (const record of this.byOwner(owner)) highest = Math.max(highest, record.version);
     return highest;
   }
 }
--- a/packages/membership/src/state-comparison.ts
+++ b/packages/membership/src/state-comparison.ts
@@ -1,6 +1,6 @@
 import { hashSeed } from '@canvasridge/clock';
 import {
-  askFor,
+  encodeMemberQuery,
   encodeUpdate,
   encodedSize,
   type EncodedUpdate,
@@ -11,20 +11,26 @@
 import type { MemberTable } from './member-table.js';
 import type { RecordTable } from './record-table.js';
 
-/** What two members that compare have to tell one another. */
+/** The result of comparing the state of another node with the state of this node. */
 export interface Difference {
-  /** Members and records that are newer here. */
+  /** Members and records that are newer on this node, as full updates for the other node. */
   readonly newerHere: readonly EncodedUpdate[];
-  /** Versions of what is newer there, which the other side answers in the same way. */
+  /**
+   * Versions that this node has of what is newer on the other node, which then answers with the newer
+   * contents.
+   */
   readonly newerThere: readonly EncodedUpdate[];
 }
 
-/** What a member knows, in the forms in which members compare it: a digest, versions, and whole updates. */
+/**
+ * The members and records that this node knows, in the three forms used for anti-entropy: a digest, a list of
+ * versions, and full updates.
+ */
 export class StateComparison {
   readonly #table: MemberTable;
   readonly #records: RecordTable;
   readonly #self: () => Member;
-  #lastDigest: { readonly of: string; readonly text: string } | undefined;
+  #lastDigest: { readonly cacheKey: string; readonly text: string } | undefined;
 
   constructor(table: MemberTable, records: RecordTable, self: () => Member) {
     this.#table = table;
@@ -32,30 +38,34 @@
     this.#self = self;
   }
 
-  /** A short text that is the same on two nodes that know the same. */
+  /** A short text that is equal on two nodes with the same state. Cached until the state changes. */
   digest(): string {
     const { incarnation, state } = this.#self();
-    const of = `${this.#table.version}/${this.#records.version}/${incarnation}/${state}`;
-    if (this.#lastDigest?.of !== of) {
+    const cacheKey = `${this.#table.version}/${this.#records.version}/${incarnation}/${state}`;
+    if (this.#lastDigest?.cacheKey !== cacheKey) {
       const versions = this.versions().map((version) => version.slice(1).join('/'));
-      this.#lastDigest = { of, text: String(hashSeed(versions.sort().join(','))) };
+      this.#lastDigest = { cacheKey, text: String(hashSeed(versions.sort().join(','))) };
     }
     return this.#lastDigest.text;
   }
 
+  /** The versions of this node, the other present members and their records. */
   versions(): EncodedUpdate[] {
     const present = this.#table.all().filter((member) => isPresent(member.state));
-    return [...present, this.#self()].map((member) => this.#versionOf(member));
+    return [...present, this.#self()].map((member) => this.#encodeVersionOf(member));
   }
 
-  /** Members and records as a whole, for one that joins. */
-  whole(): EncodedUpdate[] {
+  /** All members and records as full updates, for a node that joins. */
+  fullState(): EncodedUpdate[] {
     const members = [...this.#table.all(), this.#self()].map((member) => this.#encodeMember(member));
     const records = [...this.#records.all()].map((record) => encodeUpdate({ kind: 'record', ...record }));
     return [...members, ...records];
   }
 
-  /** Compares versions of another member with what is known here. Ends, since what is sent is then equal on both sides. */
+  /**
+   * Compares versions received from another node with the state of this node. The exchange of updates that
+   * follows terminates, because both nodes then hold equal versions.
+   */
   compare(updates: readonly Update[]): Difference {
     const newerHere: EncodedUpdate[] = [];
     const newerThere: EncodedUpdate[] = [];
@@ -65,7 +75,7 @@
     return { newerHere, newerThere };
   }
 
-  /** The state of a member without its addresses, which others know. */
+  /** The state of a member without its addresses, which the receivers already know. */
   encodeState(member: Member): EncodedUpdate {
     return encodeUpdate({
       kind: 'member-state',
@@ -76,23 +86,24 @@
     });
   }
 
-  #compareVersion(theirs: VersionUpdate, newerHere: EncodedUpdate[], newerThere: EncodedUpdate[]): void {
-    const { id, incarnation, state, recordVersion } = theirs;
+  #compareVersion(received: VersionUpdate, newerHere: EncodedUpdate[], newerThere: EncodedUpdate[]): void {
+    const { id, incarnation, state, recordVersion } = received;
     const self = this.#self();
-    const mine = id === self.id ? self : this.#table.get(id);
-    if (mine === undefined) {
-      newerThere.push(askFor(id));
+    const known = id === self.id ? self : this.#table.get(id);
+    if (known === undefined) {
+      newerThere.push(encodeMemberQuery(id));
       return;
     }
-    if (overrides(mine.incarnation, mine.state, theirs)) newerHere.push(this.#encodeMember(mine));
-    for (const record of this.#records.of(id)) {
+    if (overrides(known.incarnation, known.state, received)) newerHere.push(this.#encodeMember(known));
+    for (const record of this.#records.byOwner(id)) {
       if (record.version > recordVersion) newerHere.push(encodeUpdate({ kind: 'record', ...record }));
     }
-    const behind = overrides(incarnation, state, mine) || recordVersion > this.#records.highestVersion(id);
-    if (behind && id !== self.id) newerThere.push(this.#versionOf(mine));
+    const isNewerThere =
+      overrides(incarnation, state, known) || recordVersion > this.#records.highestVersion(id);
+    if (isNewerThere && id !== self.id) newerThere.push(this.#encodeVersionOf(known));
   }
 
-  #versionOf({ id, incarnation, state }: Member): EncodedUpdate {
+  #encodeVersionOf({ id, incarnation, state }: Member): EncodedUpdate {
     const recordVersion = this.#records.highestVersion(id);
     return encodeUpdate({ kind: 'version', id, incarnation, state, recordVersion });
   }
@@ -104,14 +115,17 @@
   }
 }
 
-/** Divides updates so that each part fits into one datagram; at least one part, which may be empty. */
-export function inBatches(updates: readonly EncodedUpdate[], mostBytes: number): EncodedUpdate[][] {
+/**
+ * Splits updates into batches that each fit into one datagram. Returns at least one batch, which may be
+ * empty.
+ */
+export function splitIntoBatches(updates: readonly EncodedUpdate[], maxBytes: number): EncodedUpdate[][] {
   const batches: EncodedUpdate[][] = [];
   let batch: EncodedUpdate[] = [];
   let bytes = 0;
   for (const update of updates) {
     const size = encodedSize(update);
-    if (bytes + size > mostBytes && batch.length > 0) {
+    if (bytes + size > maxBytes && batch.length > 0) {
       batches.push(batch);
       batch = [];
       bytes = 0;
--- a/packages/membership/src/timing.ts
+++ b/packages/membership/src/timing.ts
@@ -1,22 +1,25 @@
-/** Periods of the protocol, in milliseconds. */
+/** Tuning of the membership protocol. Durations are in milliseconds. */
 export interface MembershipTiming {
-  /** One member is probed each period. */
+  /** One member is probed in each period. */
   readonly probePeriodMs: number;
-  /** Wait for a direct acknowledgement before other members are asked to probe. */
+  /** How long to wait for a direct acknowledgement before asking other members to probe the target. */
   readonly probeTimeoutMs: number;
-  /** Members asked to probe on this node's behalf. */
+  /** How many members are asked to probe a target that did not acknowledge a direct probe. */
   readonly indirectProbes: number;
-  /** Time in which a suspected member can refute. */
+  /** How long a suspected member has to refute the suspicion before it is declared dead. */
   readonly suspicionMs: number;
-  /** Period in which fresh news are pushed to random members. */
+  /** Interval at which queued updates are sent to random members. */
   readonly gossipPeriodMs: number;
+  /** How many random members receive each round of gossip. */
   readonly gossipFanout: number;
-  /** Period in which what is known is compared with one member. */
+  /** Mean interval at which this node compares its state with one random member. */
   readonly synchronisationPeriodMs: number;
-  /** Dead and left members are kept this long, so that old news of them are recognised. */
-  readonly forgetMs: number;
-  /** Bytes of updates in one datagram at the most. */
-  readonly datagramBytes: number;
+  /**
+   * How long dead and departed members are kept, so that late updates about them are recognised as outdated.
+   */
+  readonly removedRetentionMs: number;
+  /** Maximum size of the updates in one datagram, in bytes. */
+  readonly maxUpdateBytes: number;
 }
 
 export const DEFAULT_MEMBERSHIP_TIMING: MembershipTiming = {
@@ -27,6 +30,6 @@
   gossipPeriodMs: 400,
   gossipFanout: 2,
   synchronisationPeriodMs: 45_000,
-  forgetMs: 120_000,
-  datagramBytes: 1100,
+  removedRetentionMs: 120_000,
+  maxUpdateBytes: 1100,
 };
--- a/packages/membership/src/udp-transport.ts
+++ b/packages/membership/src/udp-transport.ts
@@ -4,7 +4,8 @@
 import { err, ok, type Result } from 'neverthrow';
 import type { DatagramTransport } from './datagram-transport.js';
 
-const SEAL_BYTES = 8;
+/** Length of the truncated HMAC at the end of each datagram. */
+const MAC_BYTES = 8;
 
 export interface UdpTransportError {
   readonly kind: 'cannot-bind';
@@ -13,8 +14,8 @@
 }
 
 /**
- * Datagrams over UDP. Each ends with the first 8 bytes of its HMAC-SHA256 under the key that the
- * nodes share, so stray or forged datagrams are dropped before they are decoded.
+ * Sends and receives datagrams over UDP. Each datagram ends with the first 8 bytes of its HMAC-SHA256 under
+ * the key shared by the nodes, so stray or forged datagrams are dropped before they are decoded.
  */
 export class UdpTransport implements DatagramTransport {
   readonly localAddress: string;
@@ -25,11 +26,11 @@
   private constructor(socket: Socket, key: string) {
     this.#socket = socket;
     this.#key = key;
-    const bound = socket.address();
-    this.localAddress = formatAddress(bound);
+    const boundAddress = socket.address();
+    this.localAddress = formatAddress(boundAddress);
   }
 
-  /** Binds to `host:port`; port 0 lets the system choose. */
+  /** Binds to `host:port`; with port 0, the operating system chooses a port. */
   static bind(host: string, port: number, key: string): Promise<Result<UdpTransport, UdpTransportError>> {
     const family = isIPv6(host) ? 6 : 4;
     const lookup: SocketOptions['lookup'] = (address, _options, callback) => callback(null, address, family);
@@ -40,24 +41,24 @@
       });
       socket.bind(port, host, () => {
         socket.removeAllListeners('error');
-        socket.on('error', () => undefined); // a failed send is a lost datagram, which the protocol expects
+        socket.on('error', () => undefined); // a failed send is a lost datagram, which the protocol tolerates
         resolve(ok(new UdpTransport(socket, key)));
       });
     });
   }
 
   send(address: string, bytes: Uint8Array): void {
-    // Tasks that were under way when the node stopped may still send once.
+    // Tasks that were running when the node stopped may still try to send.
     if (this.#closed) return;
     const separator = address.lastIndexOf(':');
     const host = address.slice(0, separator).replace(/^\[|\]$/g, '');
     const port = Number(address.slice(separator + 1));
-    this.#socket.send([bytes, this.#seal(bytes)], port, host, () => undefined);
+    this.#socket.send([bytes, this.#computeMac(bytes)], port, host, () => undefined);
   }
 
   onMessage(receiver: (fromAddress: string, bytes: Uint8Array) => void): void {
     this.#socket.on('message', (datagram, remote) => {
-      const content = this.#open(datagram);
+      const content = this.#verify(datagram);
       if (content !== undefined) receiver(formatAddress(remote), content);
     });
   }
@@ -67,15 +68,15 @@
     this.#socket.close();
   }
 
-  #seal(bytes: Uint8Array): Buffer {
-    return createHmac('sha256', this.#key).update(bytes).digest().subarray(0, SEAL_BYTES);
+  #computeMac(bytes: Uint8Array): Buffer {
+    return createHmac('sha256', this.#key).update(bytes).digest().subarray(0, MAC_BYTES);
   }
 
-  #open(datagram: Buffer): Uint8Array | undefined {
-    if (datagram.length <= SEAL_BYTES) return undefined;
-    const content = datagram.subarray(0, datagram.length - SEAL_BYTES);
-    const seal = datagram.subarray(datagram.length - SEAL_BYTES);
-    return timingSafeEqual(seal, this.#seal(content)) ? content : undefined;
+  #verify(datagram: Buffer): Uint8Array | undefined {
+    if (datagram.length <= MAC_BYTES) return undefined;
+    const content = datagram.subarray(0, datagram.length - MAC_BYTES);
+    const mac = datagram.subarray(datagram.length - MAC_BYTES);
+    return timingSafeEqual(mac, this.#computeMac(content)) ? content : undefined;
   }
 }
 
--- a/packages/membership/test/later-builds.test.ts
+++ b/packages/membership/test/later-builds.test.ts
@@ -16,20 +16,20 @@
   for (const unknown of [[9, 'x'], [0, 'b'], 'text', null, { code: 1 }, [], [2, 'b', 'k', -1, {}]]) {
     const decoded = decodeMessage(datagram([KNOWN, unknown, KNOWN]));
     t.is(decoded?.updates.length, 2, JSON.stringify(unknown));
-    t.is(decoded?.unread, 1);
+    t.is(decoded?.unrecognisedCount, 1);
   }
 });
 
 test('positions beyond the known ones are passed over, of updates and of messages', (t) => {
   const decoded = decodeMessage(datagram([[...KNOWN, 'later', 7]], 'ping', [{ level: 2 }]));
-  t.is(decoded?.unread, 0);
+  t.is(decoded?.unrecognisedCount, 0);
   t.like(decoded?.message, { kind: 'ping', sender: 'a', sequence: 2 });
   t.like(decoded?.updates[0], { kind: 'member-state', id: 'b', suspicionAgeMs: 5 });
 });
 
 test('of a message of an unknown kind its updates count, and it asks for nothing', (t) => {
   const decoded = decodeMessage(datagram([KNOWN], 'later-kind'));
-  t.like(decoded, { unread: 1, message: { kind: 'gossip' } });
+  t.like(decoded, { unrecognisedCount: 1, message: { kind: 'gossip' } });
   t.is(decoded?.updates.length, 1);
 });
 
--- a/packages/ownership/src/desired-owner.ts
+++ b/packages/ownership/src/desired-owner.ts
@@ -2,26 +2,31 @@
 import type { Member } from '@canvasridge/membership';
 import { hash32, mixScores } from '@canvasridge/placement';
 
-/** Most that a node owns, over the mean of its zone: what it sends for ownership grows with its engines. */
-const LOAD_BOUND = 1.25;
+/**
+ * Maximum number of engines that a node owns, relative to the mean of its zone. Bounded because the ownership
+ * traffic of a node grows with the number of its engines.
+ */
+const LOAD_BOUND_FACTOR = 1.25;
 
 /**
- * The member that should own each engine. An engine goes to the member of its zone with the highest
- * rendezvous score that is below its bound (consistent hashing with bounded loads, Mirrokni, Thorup and
- * Zadimoghaddam, 2016, on rendezvous scores); where its zone has no member, to any. Suspected members
- * count as present: a suspicion alone moves nothing. Nodes that see the same members agree.
+ * Assigns an owner to each engine; returns member ids by engine id. An engine goes to the member of its zone
+ * with the highest rendezvous score among those below their bound (consistent hashing with bounded loads,
+ * Mirrokni, Thorup and Zadimoghaddam, 2016, applied to rendezvous scores), or to a member of any zone if its
+ * own zone has none. Suspected members count as present, so a suspicion alone moves no engine. Nodes that see
+ * the same members compute the same owners.
  */
 export function assignOwners(
   engines: readonly EngineDefinition[],
   present: readonly Member[],
 ): ReadonlyMap<string, string> {
-  const working = present.filter((member) => member.state !== 'draining');
-  const zones = new Map<string, EngineDefinition[]>();
-  for (const engine of engines) zones.set(engine.zone, [...(zones.get(engine.zone) ?? []), engine]);
+  const eligible = present.filter((member) => member.state !== 'draining');
+  const enginesByZone = new Map<string, EngineDefinition[]>();
+  for (const engine of engines)
+    enginesByZone.set(engine.zone, [...(enginesByZone.get(engine.zone) ?? []), engine]);
   const owners = new Map<string, string>();
-  for (const [zone, ofZone] of zones) {
-    const near = working.filter((member) => member.zone === zone);
-    assignWithin(ofZone, near.length > 0 ? near : working, owners);
+  for (const [zone, zoneEngines] of enginesByZone) {
+    const localMembers = eligible.filter((member) => member.zone === zone);
+    assignWithin(zoneEngines, localMembers.length > 0 ? localMembers : eligible, owners);
   }
   return owners;
 }
@@ -37,11 +42,11 @@
   members: readonly Member[],
   owners: Map<string, string>,
 ): void {
-  const bound = Math.ceil((engines.length / Math.max(1, members.length)) * LOAD_BOUND);
+  const bound = Math.ceil((engines.length / Math.max(1, members.length)) * LOAD_BOUND_FACTOR);
   const candidates = members
     .map((member): Candidate => ({ id: member.id, hash: hash32(member.id), owned: 0 }))
     .sort((a, b) => (a.id < b.id ? -1 : 1));
-  // In the order of their names, so that every node fills members up in the same order.
+  // Sorted by id, so that every node assigns the engines in the same order.
   const ordered = [...engines].sort((a, b) => (a.id < b.id ? -1 : 1));
   for (const engine of ordered) {
     const owner = highestBelowBound(hash32(engine.id), candidates, bound);
--- a/packages/ownership/src/engine-ownership.ts
+++ b/packages/ownership/src/engine-ownership.ts
@@ -3,11 +3,14 @@
 import type { Telemetry } from '@canvasridge/telemetry';
 import type { OwnershipTiming } from './timing.js';
 
-/** What the owner of an engine knows when it takes it over. */
+/** What a node knows about an engine when it becomes its owner. */
 export interface OwnedState {
   readonly fence: number;
   readonly incarnation: string;
-  /** A snapshot from before or after the claim; generations of earlier owners may still run. */
+  /**
+   * Report of the engine, taken before or after the claim. Generations of earlier owners may still be
+   * running.
+   */
   readonly report: EngineReport;
 }
 
@@ -18,30 +21,31 @@
   readonly random: Random;
   readonly telemetry: Telemetry;
   readonly timing: OwnershipTiming;
-  /** Name of this process as a holder: node and process token. */
+  /** Identifies this process as the holder of a lease: node id and process token. */
   readonly holder: string;
   /** Whether this node should own the engine now. */
-  readonly isDesired: () => boolean;
-  /** Asks the present holder to let go; true when it has, or when it is certainly gone. */
+  readonly isDesiredOwner: () => boolean;
+  /** Asks the current holder to release the engine; true if it has, or if it is certainly gone. */
   readonly requestRelease: (holder: string) => Promise<boolean>;
-  /** Asks the node that is known to own the engine, where the engine itself does not tell its holder. */
-  readonly requestReleaseOfOwner: () => Promise<boolean>;
-  /** For engines that do not check fences: asks the witnesses for a lease. */
+  /** Asks the published owner to release the engine, for engines that do not report their holder. */
+  readonly requestReleaseFromOwner: () => Promise<boolean>;
+  /** Acquires and releases leases from the witnesses, for engines that do not check fences. */
   readonly witnesses: {
     acquire(engineId: string, leaseMs: number): Promise<boolean>;
     release(engineId: string): void;
   };
-  /** Whether requests or orders of this node were left with an unknown outcome since the last claim. */
+  /** Whether requests or orders of this node have had an unknown outcome since the last claim. */
   readonly wantsNewFence: () => boolean;
   readonly onHeld: (state: OwnedState) => void;
   readonly onLost: (reason: string) => void;
 }
 
+/** Fences are at least the number of seconds since this time. */
 const FENCE_EPOCH_MS = Date.UTC(2026, 0, 1);
 
 /**
- * This node's claim on one engine, as one task: wait until it is this node's turn, claim, renew, and
- * stop at once when the lease ends or the engine knows a higher fence.
+ * Ownership of one engine by this node, run as one task: wait until this node should own the engine, claim
+ * it, renew the lease, and stop immediately when the lease ends or the engine reports a higher fence.
  */
 export class EngineOwnership {
   readonly engine: EngineDefinition;
@@ -53,7 +57,7 @@
   #incarnation = '';
   #leaseUntilMs = -Infinity;
   #held = false;
-  #notBeforeMs = -Infinity;
+  #claimNotBeforeMs = -Infinity;
 
   constructor(options: EngineOwnershipOptions) {
     this.engine = options.engine;
@@ -65,7 +69,7 @@
     void this.#run();
   }
 
-  /** Lets go of the engine and ends the task. */
+  /** Releases the engine and ends the task. */
   stop(): void {
     this.release('stopped');
     this.#stop.abort();
@@ -81,55 +85,61 @@
   }
 
   /**
-   * Whether orders and requests may be sent now. Asked right before each send: the lease is measured
-   * on this machine's monotonic clock, so a process that slept past it sends nothing on old belief.
+   * Whether orders and requests may be sent now. Checked immediately before each send: the lease is measured
+   * on the monotonic clock of this machine, so a process that was suspended past the end of its lease sends
+   * nothing.
    */
   get held(): boolean {
     return this.#held && this.#clock.now() < this.#leaseUntilMs;
   }
 
-  /** Whether an unload may be sent: where no fence protects, it must be over before the lease is. */
+  /**
+   * Whether an unload may be sent. On an engine that does not check fences, it must complete before the lease
+   * ends.
+   */
   get mayUnload(): boolean {
     if (!this.held) return false;
     if (this.engine.checksFence) return true;
     return this.#clock.now() + this.#options.timing.orderTimeoutMs < this.#leaseUntilMs;
   }
 
-  /** Gives the engine up at once; running generations go on. */
+  /** Releases the engine immediately. Running generations continue. */
   release(reason: string): void {
     if (!this.#held) return;
-    this.#lose(reason);
+    this.#endOwnership(reason);
     if (!this.engine.checksFence) this.#options.witnesses.release(this.engine.id);
   }
 
   /**
-   * Gives the engine up because an order of this node may still reach it. A new claim raises the fence
-   * above that order; where no fence protects, the lease is kept unused until the order must be over.
+   * Gives the engine up because an order of this node may still reach it. A new claim uses a fence above that
+   * order. If the engine does not check fences, the lease is kept but not used until the order must have
+   * timed out.
    */
   abandon(reason: string): void {
-    if (!this.engine.checksFence) this.#notBeforeMs = this.#clock.now() + this.#options.timing.orderTimeoutMs;
-    this.#lose(reason);
+    if (!this.engine.checksFence)
+      this.#claimNotBeforeMs = this.#clock.now() + this.#options.timing.orderTimeoutMs;
+    this.#endOwnership(reason);
   }
 
-  /** The engine refused a request or order as stale. */
+  /** Reports that the engine refused a request or order because its fence is outdated. */
   fenceRefused(fence: number): void {
-    if (fence === this.#fence) this.#lose('stale fence');
+    if (fence === this.#fence) this.#endOwnership('stale fence');
   }
 
-  /** Wakes the task early: membership or configuration has changed. */
+  /** Ends the current wait of the task early, after a change of membership or configuration. */
   wake(): void {
     this.#wake.notify();
   }
 
   async #run(): Promise<void> {
     while (!this.#stop.signal.aborted) {
-      if (this.#held) await this.#keep();
-      else if (this.#options.isDesired()) await this.#acquire();
-      else await this.#pause(this.#options.timing.retryMs * 2);
+      if (this.#held) await this.#renewAfterDelay();
+      else if (this.#options.isDesiredOwner()) await this.#acquire();
+      else await this.#waitForRetry(this.#options.timing.retryDelayMs * 2);
     }
   }
 
-  #pause(delayMs: number): Promise<void> {
+  #waitForRetry(delayMs: number): Promise<void> {
     return this.#wake.waitUpTo(this.#clock, jittered(delayMs, this.#options.random));
   }
 
@@ -137,18 +147,21 @@
 
   async #acquire(): Promise<void> {
     const { client, timing } = this.#options;
-    if (this.#clock.now() < this.#notBeforeMs) return this.#pause(timing.retryMs);
+    if (this.#clock.now() < this.#claimNotBeforeMs) return this.#waitForRetry(timing.retryDelayMs);
     const report = await client.report();
-    if (report.isErr()) return this.#pause(timing.retryMs);
-    const free = this.engine.checksFence
-      ? await this.#holderIsGone(report.value)
+    if (report.isErr()) return this.#waitForRetry(timing.retryDelayMs);
+    const available = this.engine.checksFence
+      ? await this.#isReleased(report.value)
       : await this.#acquireFromWitnesses();
-    if (!free || !this.#options.isDesired()) return this.#pause(timing.retryMs);
+    if (!available || !this.#options.isDesiredOwner()) return this.#waitForRetry(timing.retryDelayMs);
     await this.#claim(report.value);
   }
 
-  /** Whether the engine shows no holder, or one whose lease has run out or that lets go. */
-  async #holderIsGone(report: EngineReport): Promise<boolean> {
+  /**
+   * Whether the engine reports no holder other than this process, or one whose lease has expired, or one that
+   * releases the engine on request.
+   */
+  async #isReleased(report: EngineReport): Promise<boolean> {
     if (report.holder === '' || report.holder === this.#options.holder) return true;
     const leaseLeftMs = report.leaseLeftMs - report.snapshotAgeMs;
     if (leaseLeftMs < 0) return true;
@@ -159,8 +172,9 @@
     const { timing, witnesses } = this.#options;
     const startedAtMs = this.#clock.now();
     if (!(await witnesses.acquire(this.engine.id, timing.witnessLeaseMs))) {
-      // The owner gives its lease up at the witnesses when it lets go; the next try then finds it free.
-      await this.#options.requestReleaseOfOwner();
+      // An owner that releases the engine also releases its lease at the witnesses, so the next attempt
+      // succeeds.
+      await this.#options.requestReleaseFromOwner();
       return false;
     }
     this.#leaseUntilMs = startedAtMs + timing.witnessLeaseMs * (1 - timing.clockSkew);
@@ -178,7 +192,7 @@
     );
     if (answer.isErr() || answer.value.kind !== 'done') {
       if (answer.isOk()) this.#fence = Math.max(this.#fence, answer.value.fence);
-      return this.#pause(timing.retryMs);
+      return this.#waitForRetry(timing.retryDelayMs);
     }
     this.#fence = fence;
     this.#incarnation = answer.value.incarnation;
@@ -191,22 +205,24 @@
   }
 
   /**
-   * Above every fence seen, and above seconds since 2026: an engine that restarted has forgotten its
-   * fence, and an order of an owner from before must not match a new one.
+   * Returns a fence above every fence seen and not below the number of seconds since 2026. An engine that
+   * restarted has lost its fence, and an order sent by an owner before the restart must not match a new
+   * fence.
    */
-  #nextFence(seen: number): number {
+  #nextFence(highestSeen: number): number {
     const seconds = Math.floor((this.#clock.wallTime() - FENCE_EPOCH_MS) / 1000);
-    return Math.max(seen + 1, this.#fence + 1, seconds);
+    return Math.max(highestSeen + 1, this.#fence + 1, seconds);
   }
 
   // --- keeping -----------------------------------------------------------------------------------
 
-  async #keep(): Promise<void> {
+  async #renewAfterDelay(): Promise<void> {
     const { timing } = this.#options;
     await this.#clock.sleep(jittered(timing.renewPeriodMs, this.#options.random), this.#stop.signal);
     if (!this.#held || this.#stop.signal.aborted) return;
-    if (!this.held) return this.#lose('lease ended');
-    // Also while another node should own the engine: it asks for the release, and until then this one serves.
+    if (!this.held) return this.#endOwnership('lease ended');
+    // Renews even if another node should own the engine by now: that node requests the release, and this one
+    // serves until then.
     await this.#renew();
   }
 
@@ -214,25 +230,26 @@
     const { client, timing, holder, wantsNewFence } = this.#options;
     const startedAtMs = this.#clock.now();
     if (!this.engine.checksFence && !(await this.#renewWithWitnesses(startedAtMs))) return;
-    const raise = this.engine.checksFence && wantsNewFence();
-    const fence = raise ? this.#nextFence(this.#fence) : this.#fence;
-    const order = { kind: raise ? 'claim' : 'renew', holder, leaseMs: timing.leaseMs } as const;
+    const raisesFence = this.engine.checksFence && wantsNewFence();
+    const fence = raisesFence ? this.#nextFence(this.#fence) : this.#fence;
+    const order = { kind: raisesFence ? 'claim' : 'renew', holder, leaseMs: timing.leaseMs } as const;
     const answer = await client.order(fence, order, this.#stop.signal);
     if (!this.#held) return;
     if (answer.isErr()) {
-      // A raised fence may or may not be in force; only a claim above both settles it.
-      if (raise) this.#fence = fence;
-      if (!this.held) this.#lose('lease ended');
+      // It is unknown whether the engine has accepted the raised fence. Only a claim above both fences
+      // settles this.
+      if (raisesFence) this.#fence = fence;
+      if (!this.held) this.#endOwnership('lease ended');
       return;
     }
     if (answer.value.kind !== 'done' || answer.value.incarnation !== this.#incarnation) {
-      return this.#lose('another claim or a restart');
+      return this.#endOwnership('another claim or a restart');
     }
     if (this.engine.checksFence) this.#leaseUntilMs = startedAtMs + timing.leaseMs * (1 - timing.clockSkew);
-    if (raise) this.#raised(fence);
+    if (raisesFence) this.#recordRaisedFence(fence);
   }
 
-  #raised(fence: number): void {
+  #recordRaisedFence(fence: number): void {
     this.#fence = fence;
     this.#options.telemetry.event('debug', 'ownership.fence-raised', this.engine.id, { fence });
   }
@@ -243,11 +260,11 @@
       this.#leaseUntilMs = startedAtMs + timing.witnessLeaseMs * (1 - timing.clockSkew);
       return true;
     }
-    if (!this.held) this.#lose('lease ended');
+    if (!this.held) this.#endOwnership('lease ended');
     return false;
   }
 
-  #lose(reason: string): void {
+  #endOwnership(reason: string): void {
     if (!this.#held) return;
     this.#held = false;
     const { telemetry, onLost } = this.#options;
--- a/packages/ownership/src/index.ts
+++ b/packages/ownership/src/index.ts
@@ -1,4 +1,4 @@
-/** Which node gives orders to an engine. */
+/** Decides which node owns each engine, that is, may send it orders, and maintains the leases for it. */
 export { assignOwners } from './desired-owner.js';
 export { EngineOwnership, type EngineOwnershipOptions, type OwnedState } from './engine-ownership.js';
 export {
--- a/packages/ownership/src/ownership-manager.ts
+++ b/packages/ownership/src/ownership-manager.ts
@@ -9,11 +9,11 @@
 import type { OwnershipTiming } from './timing.js';
 import { WitnessTable, chooseWitnesses } from './witness-table.js';
 
-/** What the rest of the node does with owned engines. */
+/** Callbacks for changes of the engines that this node owns. */
 export interface OwnershipEvents {
   onHeld(ownership: EngineOwnership, state: OwnedState): void;
   onLost(ownership: EngineOwnership, reason: string): void;
-  /** Whether work of this node on the engine was left with an unknown outcome. */
+  /** Whether work of this node on the engine has an unknown outcome since the last claim. */
   wantsNewFence(engineId: string): boolean;
 }
 
@@ -22,9 +22,9 @@
   /** Members believed present, this node included. */
   readonly present: () => readonly Member[];
   readonly member: (id: string) => Member | undefined;
-  /** Names of all entry nodes that the platform lists, live or not. */
+  /** Ids of all entry nodes that the platform lists, whether they are alive or not. */
   readonly listedNodes: () => readonly string[];
-  /** Node that publishes itself as the owner of an engine, if any. */
+  /** Id of the node that publishes itself as the owner of the engine, if any. */
   readonly knownOwner: (engineId: string) => string | undefined;
   readonly caller: PeerCaller;
   readonly clientOf: (engine: EngineDefinition) => EngineClient;
@@ -35,13 +35,14 @@
   readonly events: OwnershipEvents;
 }
 
+/** Delay in which several changes are collected before the engines are assigned again. */
 const RECONCILE_DELAY_MS = 100;
 const RELEASE_TIMEOUT_MS = 1000;
 const GRANT_TIMEOUT_MS = 700;
 
 const booleanAnswer = z.strictObject({ done: z.boolean() });
 
-/** Parameters of the methods that peers call. */
+/** Parameters of the RPC methods that peers call. */
 export const releaseParams = z.strictObject({ engineId: z.string(), requester: z.string() });
 export const grantParams = z.strictObject({
   engineId: z.string(),
@@ -59,7 +60,7 @@
   #engines: readonly EngineDefinition[] = [];
   #desired: ReadonlyMap<string, string> = new Map();
   #stopped = false;
-  #pending = false;
+  #reconcilePending = false;
 
   constructor(options: OwnershipManagerOptions) {
     this.#options = options;
@@ -76,7 +77,7 @@
     return [...this.#owned.values()].filter((ownership) => ownership.held);
   }
 
-  /** Member that should own the engine, by this node's view. */
+  /** Id of the member that should own the engine, according to this node. */
   desiredOwnerOf(engineId: string): string | undefined {
     return this.#desired.get(engineId);
   }
@@ -86,17 +87,17 @@
     this.reconcile();
   }
 
-  /** Works out soon which engines this node should own; several changes at once are taken together. */
+  /** Reassigns the engines after a short delay, so that several changes are handled together. */
   reconcileSoon(): void {
-    if (this.#pending || this.#stopped) return;
-    this.#pending = true;
+    if (this.#reconcilePending || this.#stopped) return;
+    this.#reconcilePending = true;
     this.#options.clock.setTimer(RECONCILE_DELAY_MS, () => {
-      this.#pending = false;
+      this.#reconcilePending = false;
       this.reconcile();
     });
   }
 
-  /** Works out now which engines this node should own. */
+  /** Reassigns the engines to the present members and starts or stops ownership tasks accordingly. */
   reconcile(): void {
     if (this.#stopped) return;
     this.#desired = assignOwners(this.#engines, this.#options.present());
@@ -104,17 +105,18 @@
     for (const engine of this.#engines) this.#ensureTask(engine);
   }
 
-  /** Gives up every engine and ends all tasks. */
+  /** Releases every engine and ends all tasks. */
   stop(): void {
     this.#stopped = true;
     for (const ownership of this.#owned.values()) ownership.stop();
   }
 
-  /** A peer that should own an engine asks for it. */
+  /** Handles a request for release from a peer that should own the engine. */
   handleRelease(params: z.infer<typeof releaseParams>): z.infer<typeof booleanAnswer> {
     const ownership = this.#owned.get(params.engineId);
     if (ownership === undefined || !ownership.held) return { done: true };
-    // Only when this node agrees on who should own it: two views must not throw an engine to and fro.
+    // Refuse if this node is the desired owner in its own view. Otherwise nodes with different views would
+    // keep taking the engine from each other.
     if (this.#desired.get(params.engineId) === this.#options.self().id) return { done: false };
     ownership.release(`handed to ${params.requester}`);
     return { done: true };
@@ -130,9 +132,9 @@
   }
 
   #dropRemoved(): void {
-    const known = new Map(this.#engines.map((engine) => [engine.id, engine]));
+    const enginesById = new Map(this.#engines.map((engine) => [engine.id, engine]));
     for (const [id, ownership] of this.#owned) {
-      const engine = known.get(id);
+      const engine = enginesById.get(id);
       if (engine !== undefined && engine.url === ownership.engine.url) continue;
       ownership.stop();
       this.#owned.delete(id);
@@ -161,9 +163,9 @@
       telemetry,
       timing,
       holder: this.#holder,
-      isDesired: () => this.#desired.get(engine.id) === this.#options.self().id,
+      isDesiredOwner: () => this.#desired.get(engine.id) === this.#options.self().id,
       requestRelease: (holder) => this.#requestRelease(engine.id, holder),
-      requestReleaseOfOwner: () => this.#requestReleaseOfOwner(engine.id),
+      requestReleaseFromOwner: () => this.#requestReleaseFromOwner(engine.id),
       witnesses: {
         acquire: (engineId, leaseMs) => this.#acquireFromWitnesses(engineId, leaseMs),
         release: (engineId) => this.#releaseWitnesses(engineId),
@@ -178,7 +180,7 @@
   async #requestRelease(engineId: string, holder: string): Promise<boolean> {
     const [nodeId = '', processToken = ''] = holder.split('~');
     const self = this.#options.self();
-    // An earlier process of this very node is gone: this one has its address.
+    // An earlier process of this node is certainly gone, because the current process uses its address.
     if (nodeId === self.id) return true;
     const member = this.#options.member(nodeId);
     if (member === undefined || member.state === 'dead' || member.state === 'left') return false;
@@ -188,7 +190,7 @@
     return answer;
   }
 
-  async #requestReleaseOfOwner(engineId: string): Promise<boolean> {
+  async #requestReleaseFromOwner(engineId: string): Promise<boolean> {
     const self = this.#options.self();
     const owner = this.#options.member(this.#options.knownOwner(engineId) ?? self.id);
     if (owner === undefined || owner.id === self.id) return false;
@@ -199,9 +201,9 @@
     const witnesses = chooseWitnesses(engineId, this.#options.listedNodes());
     if (witnesses.length === 0) return false;
     const params = { engineId, holder: this.#holder, leaseMs };
-    const votes = await Promise.all(witnesses.map((id) => this.#askWitness(id, params)));
-    const granted = votes.filter((vote) => vote).length;
-    return granted > witnesses.length / 2;
+    const grants = await Promise.all(witnesses.map((id) => this.#askWitness(id, params)));
+    const grantedCount = grants.filter((isGranted) => isGranted).length;
+    return grantedCount > witnesses.length / 2;
   }
 
   async #askWitness(id: string, params: z.infer<typeof grantParams>): Promise<boolean> {
--- a/packages/ownership/src/timing.ts
+++ b/packages/ownership/src/timing.ts
@@ -1,15 +1,17 @@
-/** Periods of ownership, in milliseconds. docs/design/ownership.md derives them. */
+/** Durations of the ownership protocol, in milliseconds. docs/design/ownership.md derives the values. */
 export interface OwnershipTiming {
-  /** Lease on an engine that checks fences. */
+  /** Length of a lease on an engine that checks fences. */
   readonly leaseMs: number;
+  /** Mean interval between renewals of a lease. */
   readonly renewPeriodMs: number;
-  /** Lease on an engine that does not: owners wait for it to run out. */
+  /** Length of a lease on an engine that does not check fences; a new owner waits until it has expired. */
   readonly witnessLeaseMs: number;
-  /** Most that the clocks of two machines may differ in rate, as a share. */
+  /** Maximum difference between the clock rates of two machines, as a fraction. */
   readonly clockSkew: number;
-  /** Time limit of one order; nothing of an order is on its way after it. */
+  /** Timeout of one order. No part of an order is still in transit after this time. */
   readonly orderTimeoutMs: number;
-  readonly retryMs: number;
+  /** Mean delay before the next attempt to acquire an engine. */
+  readonly retryDelayMs: number;
 }
 
 export const DEFAULT_OWNERSHIP_TIMING: OwnershipTiming = {
@@ -18,5 +20,5 @@
   witnessLeaseMs: 9000,
   clockSkew: 0.05,
   orderTimeoutMs: 3000,
-  retryMs: 500,
+  retryDelayMs: 500,
 };
