--- a/packages/configuration/src/configuration-follower.ts
+++ b/packages/configuration/src/configuration-follower.ts
@@ -8,9 +8,9 @@
 import type { Telemetry } from '@canvasridge/telemetry';
 import { err, ok, type Result } from 'neverthrow';
 import { HEAD_KEY, chunkKey, headSchema, type RevisionHead } from './revision.js';
-import { RevisionStore, stampRevision } from './revision-store.js';
+import { RevisionStore, revisionOfStamp } from './revision-store.js';
 
-/** Reads revisions from a peer. */
+/** Reads configuration revisions from peers. */
 export interface PeerConfigurationSource {
   head(peerId: string): Promise<{ readonly head: RevisionHead; readonly sourceVersion: number } | undefined>;
   chunk(peerId: string, sha256: string): Promise<string | undefined>;
@@ -22,25 +22,29 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly telemetry: Telemetry;
-  /** Whether this node is one of the few of its zone that hold a watch on the service. */
+  /** Whether this node is one of the few nodes of its zone that watch the configuration service. */
   readonly isWatcher: () => boolean;
-  /** Where the revision in force is kept; a fresh one by default. */
+  /** Holds the revision in force; a new, empty store by default. */
   readonly store?: RevisionStore | undefined;
-  /** Called after each revision put in force. */
+  /** Called each time a revision is put in force. */
   readonly onRevision: (index: ConfigurationIndex) => void;
 }
 
-const WATCH_MS = 25_000;
-/** Nodes that do not watch read the service directly this seldom, in case no watcher reaches it. */
+/** How long the service holds a watch open before it answers without a change. */
+const WATCH_TIMEOUT_MS = 25_000;
+/** Mean interval at which non-watchers read the service directly, in case no watcher can reach it. */
 const DIRECT_READ_PERIOD_MS = 300_000;
-const ROLE_CHECK_MS = 1000;
-const RETRY = { initialMs: 500, maximumMs: 15_000 } as const;
+/** Mean interval at which a node checks whether it has become a watcher. */
+const ROLE_CHECK_PERIOD_MS = 1000;
+/** Backoff after a failed read of the service. */
+const RETRY_BACKOFF = { initialMs: 500, maximumMs: 15_000 } as const;
 
 type ChunkReader = (sha256: string) => Promise<string | undefined>;
 
 /**
- * Keeps a node's configuration up to date: few nodes of each zone watch the service, all others hear of
- * revisions from peers. A lower revision is ignored wherever it comes from.
+ * Keeps the configuration of a node up to date. A few nodes of each zone watch the configuration service; all
+ * others learn of new revisions from peers. A lower revision than the one in force is ignored, whatever its
+ * source.
  */
 export class ConfigurationFollower {
   readonly store: RevisionStore;
@@ -48,13 +52,13 @@
   readonly #stop = new AbortController();
   readonly #changed = new Notifier();
   readonly #backoff: Backoff;
-  #peerFetches = new Set<number>();
-  #reportedHold = 0;
+  #fetchingStamps = new Set<number>();
+  #lastReportedRevision = 0;
 
   constructor(options: FollowerOptions) {
     this.#options = options;
     this.store = options.store ?? new RevisionStore();
-    this.#backoff = new Backoff(RETRY, options.random);
+    this.#backoff = new Backoff(RETRY_BACKOFF, options.random);
   }
 
   start(): void {
@@ -65,70 +69,75 @@
     this.#stop.abort();
   }
 
-  /** Resolves at the next revision put in force. */
+  /** Resolves when the next revision is put in force. */
   nextRevision(): Promise<void> {
     return this.#changed.wait();
   }
 
-  /** Peer `peerId` shows a revision stamp; fetches from it when that may be newer. */
+  /**
+   * Handles the revision stamp announced by a peer: fetches the revision from that peer if it may be newer.
+   */
   async heardOf(peerId: string, stamp: number): Promise<void> {
-    const mine = this.store.stamp;
-    if (stamp === mine || stampRevision(stamp) < this.store.revision || stamp === 0) return;
-    if (this.#peerFetches.has(stamp)) return;
-    this.#peerFetches.add(stamp);
+    const currentStamp = this.store.stamp;
+    if (stamp === currentStamp || revisionOfStamp(stamp) < this.store.revision || stamp === 0) return;
+    if (this.#fetchingStamps.has(stamp)) return;
+    this.#fetchingStamps.add(stamp);
     const answer = await this.#options.peers.head(peerId);
     if (answer !== undefined) {
       await this.#adopt(answer.head, answer.sourceVersion, `peer ${peerId}`, (sha256) =>
         this.#options.peers.chunk(peerId, sha256),
       );
     }
-    this.#peerFetches.delete(stamp);
+    this.#fetchingStamps.delete(stamp);
   }
 
   async #watchTask(): Promise<void> {
     const { clock, random, isWatcher } = this.#options;
-    // The first read waits a moment: nodes that start together should not all read at once.
-    await clock.sleep(random.next() * ROLE_CHECK_MS, this.#stop.signal);
+    // Random delay before the first read, so that nodes that start together do not all read at the same time.
+    await clock.sleep(random.next() * ROLE_CHECK_PERIOD_MS, this.#stop.signal);
     let nextDirectReadMs = clock.now();
     while (!this.#stop.signal.aborted) {
-      const due = this.store.revision === 0 || clock.now() >= nextDirectReadMs;
+      const readIsDue = this.store.revision === 0 || clock.now() >= nextDirectReadMs;
       if (isWatcher()) {
         await this.#watchOnce();
-      } else if (due) {
+      } else if (readIsDue) {
         nextDirectReadMs = clock.now() + jittered(DIRECT_READ_PERIOD_MS, random);
         await this.#readOnce();
       } else {
-        await clock.sleep(jittered(ROLE_CHECK_MS, random), this.#stop.signal);
+        await clock.sleep(jittered(ROLE_CHECK_PERIOD_MS, random), this.#stop.signal);
       }
     }
   }
 
   async #watchOnce(): Promise<void> {
     this.#countRead();
-    const answer = await this.#options.source.watch(HEAD_KEY, this.store.sourceVersion, WATCH_MS);
-    await this.#takeAnswer(answer);
+    const answer = await this.#options.source.watch(HEAD_KEY, this.store.sourceVersion, WATCH_TIMEOUT_MS);
+    await this.#processAnswer(answer);
   }
 
   async #readOnce(): Promise<void> {
     this.#countRead();
-    await this.#takeAnswer(await this.#options.source.get(HEAD_KEY));
+    await this.#processAnswer(await this.#options.source.get(HEAD_KEY));
   }
 
-  async #takeAnswer(answer: Result<SourceValue, ConfigurationSourceError>): Promise<void> {
-    const handled = await this.#handleAnswer(answer);
-    if (handled.isOk()) {
+  async #processAnswer(answer: Result<SourceValue, ConfigurationSourceError>): Promise<void> {
+    const result = await this.#handleAnswer(answer);
+    if (result.isOk()) {
       this.#backoff.reset();
       return;
     }
     const delayMs = this.#backoff.nextDelayMs();
-    this.#options.telemetry.event('debug', 'configuration.unread', HEAD_KEY, { reason: handled.error });
+    this.#options.telemetry.event('debug', 'configuration.unread', HEAD_KEY, { reason: result.error });
     await this.#options.clock.sleep(delayMs, this.#stop.signal);
   }
 
-  /** An error text when the next read must wait. */
+  /**
+   * Handles an answer of the service. Returns an error text if the next read must be delayed by the backoff.
+   */
   async #handleAnswer(answer: Result<SourceValue, ConfigurationSourceError>): Promise<Result<void, string>> {
     if (answer.isErr()) return err(answer.error.kind);
-    // An old replica, or a watch that ended without news: nothing new, and no reason to ask again at once.
+    // An outdated replica answered, or the watch ended without a change: there is nothing new, and no need to
+    // read again immediately.
     if (answer.value.version === this.store.sourceVersion) return ok();
     if (answer.value.version < this.store.sourceVersion) return err('older than what is in force');
     const head = parseHead(answer.value.value);
@@ -145,19 +154,20 @@
     return answer.isOk() ? answer.value.value : undefined;
   }
 
-  /** Fetches missing chunks and puts the revision in force; returns whether it is. */
+  /** Fetches missing chunks and puts the revision in force. Returns whether it is in force afterwards. */
   async #adopt(head: RevisionHead, sourceVersion: number, from: string, read: ChunkReader): Promise<boolean> {
-    const examined = this.store.examine(head, sourceVersion);
-    if (examined.isErr()) return this.#report(head, examined.error, from);
+    const headCheck = this.store.examine(head, sourceVersion);
+    if (headCheck.isErr()) return this.#reportRefusal(head, headCheck.error, from);
     const chunks = new Map<string, string>();
     for (const sha256 of head.chunks) {
       const text = this.store.chunk(sha256) ?? (await read(sha256));
       if (text === undefined) return false;
       chunks.set(sha256, text);
     }
-    // The store examines again: another revision may have come into force while chunks were read.
+    // The store checks the head again, because another revision may have come into force while chunks were
+    // read.
     const accepted = this.store.accept(head, sourceVersion, chunks);
-    if (accepted.isErr()) return this.#report(head, accepted.error, from);
+    if (accepted.isErr()) return this.#reportRefusal(head, accepted.error, from);
     const { telemetry, onRevision } = this.#options;
     telemetry.event('info', 'configuration.in-force', `revision-${head.revision}`, { from });
     telemetry.metrics.gauge('configuration.revision', head.revision);
@@ -166,14 +176,14 @@
     return true;
   }
 
-  #report(
+  #reportRefusal(
     head: RevisionHead,
     refusal: { readonly kind: string; readonly detail?: string },
     from: string,
   ): boolean {
     const expected = refusal.kind === 'same' || refusal.kind === 'older';
-    if (!expected && this.#reportedHold !== head.revision) {
-      this.#reportedHold = head.revision;
+    if (!expected && this.#lastReportedRevision !== head.revision) {
+      this.#lastReportedRevision = head.revision;
       const fields = { from, reason: refusal.kind, detail: refusal.detail };
       this.#options.telemetry.event('warn', 'configuration.held', `revision-${head.revision}`, fields);
     }
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -1,4 +1,4 @@
-/** Revisions of the configuration: form, comparison, planning and spreading. */
+/** Configuration revisions: their format, checks, plans and distribution. */
 export {
   HEAD_KEY,
   chunkKey,
@@ -12,7 +12,7 @@
   type RevisionError,
   GENESIS,
 } from './revision.js';
-export { planChange, type Plan, type PlanStep, type FleetView, type PlannedEngine } from './plan.js';
+export { planChange, type Plan, type PlanStep, type FleetView, type LoadedAdapters } from './plan.js';
 export { checkIntent, type IntentProblem } from './intent-check.js';
 export { formatPlan } from './plan-text.js';
 export {
@@ -20,4 +20,4 @@
   type FollowerOptions,
   type PeerConfigurationSource,
 } from './configuration-follower.js';
-export { RevisionStore, type AcceptOutcome, revisionStamp, stampRevision } from './revision-store.js';
+export { RevisionStore, type AcceptOutcome, revisionStamp, revisionOfStamp } from './revision-store.js';
--- a/packages/configuration/src/intent-check.ts
+++ b/packages/configuration/src/intent-check.ts
@@ -1,14 +1,16 @@
 import type { Configuration } from '@canvasridge/domain';
 
-/** Part of an intent that contradicts another or cannot be met. */
+/** Part of a configuration that contradicts another part or that the fleet cannot fulfil. */
 export interface IntentProblem {
-  /** Path inside the configuration document. */
+  /** Path within the configuration document. */
   readonly path: string;
-  /** What is wrong and what would be allowed. */
+  /** What is wrong, and what would be valid. */
   readonly problem: string;
 }
 
-/** Checks what a schema cannot: references, duplicates and intents that no engine could meet. */
+/**
+ * Checks what a schema cannot express: references, duplicates, and requirements that no engine can fulfil.
+ */
 export function checkIntent(configuration: Configuration): IntentProblem[] {
   return [
     ...duplicates('bases', configuration.bases, (base) => base.name),
@@ -24,14 +26,17 @@
 }
 
 function duplicates<T>(section: string, items: readonly T[], nameOf: (item: T) => string): IntentProblem[] {
-  const seen = new Map<string, number>();
+  const firstIndexByName = new Map<string, number>();
   const problems: IntentProblem[] = [];
   items.forEach((item, index) => {
     const name = nameOf(item);
-    const first = seen.get(name);
-    if (first === undefined) seen.set(name, index);
+    const firstIndex = firstIndexByName.get(name);
+    if (firstIndex === undefined) firstIndexByName.set(name, index);
     else
-      problems.push({ path: `${section}[${index}]`, problem: `"${name}" is already ${section}[${first}]` });
+      problems.push({
+        path: `${section}[${index}]`,
+        problem: `"${name}" is already ${section}[${firstIndex}]`,
+      });
   });
   return problems;
 }
@@ -68,32 +73,33 @@
 
 function checkAdapters(configuration: Configuration): IntentProblem[] {
   const bases = new Set(configuration.bases.map((base) => base.name));
-  const staying = countStayingEngines(configuration);
+  const remainingEngines = countRemainingEngines(configuration);
   const problems: IntentProblem[] = [];
   configuration.adapters.forEach((adapter, index) => {
-    const engines = staying.get(adapter.base) ?? 0;
+    const engineCount = remainingEngines.get(adapter.base) ?? 0;
     const path = `adapters[${index}]`;
     if (!bases.has(adapter.base)) {
       problems.push({
         path: `${path}.base`,
         problem: `"${adapter.base}" is not among bases: ${[...bases].join(', ')}`,
       });
-    } else if (engines === 0) {
+    } else if (engineCount === 0) {
       problems.push({
         path: `${path}.base`,
         problem: `no engine of base "${adapter.base}" stays in service`,
       });
-    } else if ((adapter.pinnedReplicas ?? 0) > engines) {
+    } else if ((adapter.pinnedReplicas ?? 0) > engineCount) {
       problems.push({
         path: `${path}.pinnedReplicas`,
-        problem: `only ${engines} engines of base "${adapter.base}" stay`,
+        problem: `only ${engineCount} engines of base "${adapter.base}" stay`,
       });
     }
   });
   return problems;
 }
 
-function countStayingEngines(configuration: Configuration): Map<string, number> {
+/** Counts the engines of each base model whose machine is not leaving. */
+function countRemainingEngines(configuration: Configuration): Map<string, number> {
   const leaving = new Set(configuration.leavingMachines);
   const counts = new Map<string, number>();
   for (const engine of configuration.engines) {
--- a/packages/configuration/src/plan-text.ts
+++ b/packages/configuration/src/plan-text.ts
@@ -1,20 +1,23 @@
 import type { Plan, PlanStep } from './plan.js';
 
-const ROWS_PER_ACTION = 12;
-const CALLERS_SHOWN = 4;
+const MAX_STEPS_PER_ACTION = 12;
+const MAX_CALLERS_SHOWN = 4;
 
-/** A plan as text for a terminal: counts first, then the steps, long lists cut with their number. */
+/**
+ * Formats a plan for a terminal: for each action the number of steps and then the steps. Long lists are
+ * truncated, with the number of omitted entries.
+ */
 export function formatPlan(plan: Plan): string {
   const lines = [`Plan from revision ${plan.fromRevision} to ${plan.toRevision}`];
   if (plan.steps.length === 0) lines.push('  nothing changes');
   for (const [action, steps] of groupByAction(plan.steps)) {
     lines.push(`${action} (${steps.length})`);
-    for (const step of steps.slice(0, ROWS_PER_ACTION)) lines.push(`  ${formatStep(step)}`);
-    if (steps.length > ROWS_PER_ACTION)
-      lines.push(`  … and ${steps.length - ROWS_PER_ACTION} more (--json lists all)`);
+    for (const step of steps.slice(0, MAX_STEPS_PER_ACTION)) lines.push(`  ${formatStep(step)}`);
+    if (steps.length > MAX_STEPS_PER_ACTION)
+      lines.push(`  … and ${steps.length - MAX_STEPS_PER_ACTION} more (--json lists all)`);
   }
   if (plan.problems.length > 0) {
-    lines.push(`cannot be met (${plan.problems.length}); mend these before confirming`);
+    lines.push(`cannot be met (${plan.problems.length}); fix these before confirming`);
     for (const problem of plan.problems) lines.push(`  ${problem.path}: ${problem.problem}`);
   }
   lines.push(`plan digest ${plan.digest}`);
@@ -28,8 +31,9 @@
 }
 
 function formatStep(step: PlanStep): string {
-  const shown = step.callers.slice(0, CALLERS_SHOWN).join(', ');
-  const more = step.callers.length > CALLERS_SHOWN ? ` and ${step.callers.length - CALLERS_SHOWN} more` : '';
+  const shown = step.callers.slice(0, MAX_CALLERS_SHOWN).join(', ');
+  const more =
+    step.callers.length > MAX_CALLERS_SHOWN ? ` and ${step.callers.length - MAX_CALLERS_SHOWN} more` : '';
   const callers = step.callers.length === 0 ? '' : ` [callers: ${shown}${more}]`;
   return `${step.subject}: ${step.detail}${callers}`;
 }
--- a/packages/configuration/src/plan.ts
+++ b/packages/configuration/src/plan.ts
@@ -2,19 +2,19 @@
 import { checkIntent, type IntentProblem } from './intent-check.js';
 import { GENESIS, planDigest, splitConfiguration } from './revision.js';
 
-/** What an engine holds, as far as the fleet knows. */
-export interface PlannedEngine {
+/** The adapters loaded on an engine, as far as the fleet knows. */
+export interface LoadedAdapters {
   readonly engineId: string;
-  /** `adapter@version` of what is loaded. */
+  /** Loaded adapters as `adapter@version`. */
   readonly loaded: readonly string[];
 }
 
-/** The fleet at the time of planning. */
+/** State of the fleet at the time of planning. */
 export interface FleetView {
-  readonly engines: readonly PlannedEngine[];
+  readonly engines: readonly LoadedAdapters[];
 }
 
-/** One thing that will happen. */
+/** One effect of a change of configuration. */
 export interface PlanStep {
   readonly action:
     | 'load'
@@ -29,31 +29,32 @@
     | 'change-caller'
     | 'change-tuning'
     | 'change-service';
-  /** Adapter version, engine, caller or service. */
+  /** The adapter version, engine, caller, service or tuning value that is affected. */
   readonly subject: string;
   readonly detail: string;
-  /** Callers that may notice. */
+  /** Names of the callers that may be affected. */
   readonly callers: readonly string[];
 }
 
+/** The effects of replacing one revision by the next, shown to the operator for confirmation. */
 export interface Plan {
   readonly fromRevision: number;
   readonly toRevision: number;
-  /** What the operator confirms. */
+  /** Digest that the operator confirms. */
   readonly digest: string;
   readonly steps: readonly PlanStep[];
-  /** Intents that cannot be met; a plan with any cannot be confirmed. */
+  /** Problems of the next configuration. A plan with problems cannot be confirmed. */
   readonly problems: readonly IntentProblem[];
 }
 
-/** The revision that a plan starts from. */
+/** The revision that a plan is based on. */
 export interface PlanBase {
   readonly revision: number;
   readonly digest: string;
   readonly configuration: Configuration | undefined;
 }
 
-/** Works out what putting `next` in force changes, from one snapshot of configuration and fleet. */
+/** Plans the effects of putting `next` in force, based on one snapshot of configuration and fleet. */
 export function planChange(base: PlanBase | undefined, next: Configuration, fleet: FleetView): Plan {
   const from = base ?? { ...GENESIS, configuration: undefined };
   const nextDigest = splitConfiguration(next).digest;
@@ -74,7 +75,7 @@
   };
 }
 
-/** Callers of `configuration` that may use a model name. */
+/** Names of the callers in `configuration` that may use a model. */
 function callersOf(configuration: Configuration | undefined, model: string): string[] {
   return (configuration?.callers ?? [])
     .filter((caller) => caller.models.some((prefix) => prefix === '*' || model.startsWith(prefix)))
--- a/packages/configuration/src/revision-store.ts
+++ b/packages/configuration/src/revision-store.ts
@@ -3,7 +3,7 @@
 import { checkIntent } from './intent-check.js';
 import { joinConfiguration, planDigest, type RevisionError, type RevisionHead } from './revision.js';
 
-/** Why a published revision is not put in force. */
+/** Why a published revision was not put in force. */
 export type AcceptRefusal =
   | { readonly kind: 'older'; readonly inForce: number }
   | { readonly kind: 'same' }
@@ -14,29 +14,36 @@
 
 export type AcceptOutcome = Result<ConfigurationIndex, AcceptRefusal>;
 
+/** The revision in force with its source and contents. */
 interface InForce {
   readonly head: RevisionHead;
-  /** The configuration service's own version of the head; orders publications. */
+  /** Version that the configuration service assigned to the head. Orders publications. */
   readonly sourceVersion: number;
   readonly chunks: ReadonlyMap<string, string>;
   readonly index: ConfigurationIndex;
 }
 
-const STAMP_STEPS = 2 ** 20;
+/** A stamp has 20 bits (5 hexadecimal digits) of the digest below the revision. */
+const STAMP_DIGEST_RANGE = 2 ** 20;
 
-/** Revision and the first bits of its digest in one number, so that peers notice two of the same number. */
+/**
+ * Combines a revision number and the first bits of its digest, so that peers notice two different revisions
+ * with the same number.
+ */
 export function revisionStamp(revision: number, digest: string): number {
-  return revision * STAMP_STEPS + parseInt(digest.slice(0, 5), 16);
+  return revision * STAMP_DIGEST_RANGE + parseInt(digest.slice(0, 5), 16);
 }
 
-export function stampRevision(stamp: number): number {
-  return Math.floor(stamp / STAMP_STEPS);
+/** The revision number in a stamp. */
+export function revisionOfStamp(stamp: number): number {
+  return Math.floor(stamp / STAMP_DIGEST_RANGE);
 }
 
 /**
- * The revision in force on a node. Accepts only what follows from it: a higher revision whose plan was
- * confirmed against the one in force. Of operators who raced, the one who published first holds: the
- * other's head has a service version that it does not name, which every node sees without the first.
+ * Holds the revision in force on a node. Accepts only a higher revision whose plan was confirmed against the
+ * one in force, or against a later one. If two operators publish concurrently, the first publication wins:
+ * the head of the second names another service version than the one it was given, which every node can detect
+ * without knowing the first.
  */
 export class RevisionStore {
   #inForce: InForce | undefined;
@@ -54,18 +61,18 @@
     return this.#inForce?.sourceVersion ?? 0;
   }
 
-  /** Revision in force, 0 before the first. */
+  /** Number of the revision in force; 0 before the first. */
   get revision(): number {
     return this.#inForce?.head.revision ?? 0;
   }
 
-  /** Stamp for peers, 0 before the first revision. */
+  /** Stamp announced to peers; 0 before the first revision. */
   get stamp(): number {
     const head = this.#inForce?.head;
     return head === undefined ? 0 : revisionStamp(head.revision, head.digest);
   }
 
-  /** A published revision that this node refuses, for the operators' status. */
+  /** The published revision that this node refuses, if any. Shown to operators in the status. */
   get held(): { readonly revision: number; readonly reason: string } | undefined {
     return this.#held;
   }
@@ -74,36 +81,42 @@
     return this.#inForce?.chunks.get(sha256);
   }
 
-  /** Whether the head could be put in force; asked before its chunks are fetched. */
+  /** Checks whether the revision of a head could be put in force. Called before its chunks are fetched. */
   examine(head: RevisionHead, sourceVersion: number): Result<void, AcceptRefusal> {
     const current = this.#inForce;
     const expected = planDigest(head.previousRevision, head.previousDigest, head.digest);
     if (head.planDigest !== expected) {
-      return this.#hold(head, 'the confirmed digest is not that of the plan for this document');
+      return this.#refuse(head, 'the confirmed digest is not that of the plan for this document');
     }
     if (head.serviceVersion !== sourceVersion) {
-      return this.#hold(head, `another revision was published before it, as version ${head.serviceVersion}`);
+      return this.#refuse(
+        head,
+        `another revision was published before it, as version ${head.serviceVersion}`,
+      );
     }
     if (current === undefined) return ok();
     if (head.revision < current.head.revision) return err({ kind: 'older', inForce: current.head.revision });
-    if (head.revision === current.head.revision) return examineSameNumber(head, sourceVersion, current);
-    const follows =
+    if (head.revision === current.head.revision) return checkSameRevision(head, sourceVersion, current);
+    const hasMatchingDigest =
       head.previousRevision !== current.head.revision || head.previousDigest === current.head.digest;
-    if (follows && head.previousRevision >= current.head.revision) return ok();
-    return this.#hold(
+    if (hasMatchingDigest && head.previousRevision >= current.head.revision) return ok();
+    return this.#refuse(
       head,
       `it was planned against revision ${head.previousRevision}, not against the one in force`,
     );
   }
 
-  /** Puts a revision in force, or says why not. `chunks` holds the texts of all its chunks. */
+  /**
+   * Puts a revision in force, or returns why it is refused.
+   * @param chunks texts of all chunks of the revision by SHA-256
+   */
   accept(head: RevisionHead, sourceVersion: number, chunks: ReadonlyMap<string, string>): AcceptOutcome {
-    const examined = this.examine(head, sourceVersion);
-    if (examined.isErr()) return err(examined.error);
+    const checked = this.examine(head, sourceVersion);
+    if (checked.isErr()) return err(checked.error);
     const joined = joinConfiguration(head, (sha256) => chunks.get(sha256));
     if (joined.isErr()) return err(joined.error);
-    const unmet = checkIntent(joined.value);
-    const [first] = unmet;
+    const problems = checkIntent(joined.value);
+    const [first] = problems;
     if (first !== undefined) {
       const detail = `${first.path}: ${first.problem}`;
       this.#held = { revision: head.revision, reason: detail };
@@ -118,20 +131,21 @@
     chunks: ReadonlyMap<string, string>,
     configuration: Configuration,
   ): ConfigurationIndex {
-    const kept = new Map(head.chunks.map((sha256) => [sha256, chunks.get(sha256) ?? '']));
+    const ownChunks = new Map(head.chunks.map((sha256) => [sha256, chunks.get(sha256) ?? '']));
     const index = new ConfigurationIndex(head.revision, configuration);
-    this.#inForce = { head, sourceVersion, chunks: kept, index };
+    this.#inForce = { head, sourceVersion, chunks: ownChunks, index };
     this.#held = undefined;
     return index;
   }
 
-  #hold(head: RevisionHead, reason: string): Result<void, AcceptRefusal> {
+  #refuse(head: RevisionHead, reason: string): Result<void, AcceptRefusal> {
     this.#held = { revision: head.revision, reason };
     return err({ kind: 'plan-mismatch', detail: reason });
   }
 }
 
-function examineSameNumber(
+/** Of two different revisions with the same number, the one published first wins. */
+function checkSameRevision(
   head: RevisionHead,
   sourceVersion: number,
   current: InForce,
--- a/packages/configuration/src/revision.ts
+++ b/packages/configuration/src/revision.ts
@@ -7,63 +7,71 @@
 /** Key of the head document in the configuration service. */
 export const HEAD_KEY = 'canvasridge/head';
 
-/** Key of a chunk: chunks are named by their content, so that an unchanged one is never read again. */
+/**
+ * Key of a chunk. Chunks are named by the hash of their content, so that an unchanged chunk is never read
+ * again.
+ */
 export function chunkKey(sha256: string): string {
   return `canvasridge/chunk/${sha256}`;
 }
 
-const digestText = z.string().regex(/^[0-9a-f]{64}$/);
+const sha256Hex = z.string().regex(/^[0-9a-f]{64}$/);
 
-/** Names one revision and the chunks that make it up. */
+/** The head document: identifies one revision and lists the chunks that it consists of. */
 export const headSchema = z.strictObject({
   revision: z.int().min(1),
   /** SHA-256 over the digests of the chunks. */
-  digest: digestText,
+  digest: sha256Hex,
   previousRevision: z.int().min(0),
-  previousDigest: digestText,
+  previousDigest: sha256Hex,
   /**
-   * Version that the configuration service gives to this head, if nobody published in between. A head
-   * that got another version was confirmed without knowing of the one before it, and no node accepts it.
+   * Version that the configuration service assigns to this head if nothing else was published since the plan.
+   * A head that was assigned another version was confirmed without knowledge of the head before it, and no
+   * node accepts it.
    */
   serviceVersion: z.int().min(1),
   /** Digest of the plan that the operator confirmed. */
-  planDigest: digestText,
-  chunks: z.array(digestText).min(1).max(1024),
+  planDigest: sha256Hex,
+  chunks: z.array(sha256Hex).min(1).max(1024),
 });
 
 export type RevisionHead = z.infer<typeof headSchema>;
 
-/** What a first revision names as the one before it. */
+/** Predecessor named by the first revision. */
 export const GENESIS = { revision: 0, digest: '0'.repeat(64) } as const;
 
-/** Why documents do not make up a revision. */
+/** Why documents do not form a valid revision. */
 export type RevisionError =
   | { readonly kind: 'chunk-missing'; readonly sha256: string }
   | { readonly kind: 'chunk-damaged'; readonly sha256: string }
   | { readonly kind: 'digest-mismatch'; readonly expected: string; readonly found: string }
   | { readonly kind: 'invalid'; readonly detail: string };
 
-/** Aim for the size of an adapter chunk: well under the platform's limit of a megabyte. */
-const CHUNK_TARGET_BYTES = 250_000;
+/** Target size of a chunk of adapters, well below the platform's limit of one megabyte. */
+const TARGET_CHUNK_BYTES = 250_000;
 const ESTIMATED_ADAPTER_BYTES = 100;
 
 export function sha256Of(text: string): string {
   return createHash('sha256').update(text).digest('hex');
 }
 
-/** Digest of a configuration from those of its chunks. */
+/** Computes the digest of a configuration from the digests of its chunks. */
 function combineDigests(chunks: readonly string[]): string {
   return sha256Of(chunks.join('\n'));
 }
 
-/** What the operator confirms: the step from one exact revision to another. */
+/**
+ * Computes the digest that the operator confirms: it identifies the change from one exact revision to
+ * another.
+ */
 export function planDigest(previousRevision: number, previousDigest: string, nextDigest: string): string {
   return sha256Of(`${previousRevision}\n${previousDigest}\n${nextDigest}`);
 }
 
 /**
- * Splits a configuration into chunk texts. Adapters go to buckets by the hash of their name, so that
- * changing one adapter changes one chunk. Where the number of buckets doubles, all chunks change once.
+ * Splits a configuration into chunks; returns their texts by SHA-256. Adapters are put into buckets by the
+ * hash of their name, so that changing one adapter changes one chunk. Whenever the number of buckets doubles,
+ * all adapter chunks change once.
  */
 export function splitConfiguration(configuration: Configuration): {
   readonly digest: string;
@@ -79,8 +87,8 @@
 }
 
 function bucketAdapters(adapters: readonly AdapterDefinition[]): AdapterDefinition[][] {
-  const wanted = Math.ceil((adapters.length * ESTIMATED_ADAPTER_BYTES) / CHUNK_TARGET_BYTES);
-  const count = 2 ** Math.ceil(Math.log2(Math.max(1, wanted)));
+  const minimumCount = Math.ceil((adapters.length * ESTIMATED_ADAPTER_BYTES) / TARGET_CHUNK_BYTES);
+  const count = 2 ** Math.ceil(Math.log2(Math.max(1, minimumCount)));
   const buckets = Array.from({ length: count }, (): AdapterDefinition[] => []);
   for (const adapter of adapters) {
     const bucket = parseInt(sha256Of(`${adapter.base}:${adapter.name}`).slice(0, 8), 16) % count;
@@ -94,7 +102,7 @@
   z.strictObject({ section: z.literal('adapters'), content: z.array(z.unknown()) }),
 ]);
 
-/** Puts a configuration together again and checks every digest on the way. */
+/** Reassembles a configuration from its chunks and verifies every digest. */
 export function joinConfiguration(
   head: RevisionHead,
   chunkOf: (sha256: string) => string | undefined,
@@ -104,7 +112,7 @@
   let document: Record<string, unknown> = {};
   const adapters: unknown[] = [];
   for (const sha256 of head.chunks) {
-    const chunk = readChunk(sha256, chunkOf(sha256));
+    const chunk = parseChunk(sha256, chunkOf(sha256));
     if (chunk.isErr()) return err(chunk.error);
     if (chunk.value.section === 'main') document = chunk.value.content;
     else adapters.push(...chunk.value.content);
@@ -119,7 +127,7 @@
   });
 }
 
-function readChunk(
+function parseChunk(
   sha256: string,
   text: string | undefined,
 ): Result<z.infer<typeof chunkSchema>, RevisionError> {
@@ -129,15 +137,15 @@
   return checked.success ? ok(checked.data) : err({ kind: 'invalid', detail: checked.error.message });
 }
 
-/** The documents that an operator publishes for a revision: chunks first, then the head. */
+/** The documents that an operator publishes for a revision, in order: first the chunks, then the head. */
 export interface Publishable {
   readonly head: RevisionHead;
   readonly documents: readonly { readonly key: string; readonly value: string }[];
 }
 
 /**
- * Documents for `configuration` as the revision after `previous`.
- * @param serviceVersion version of the head that the configuration service holds now, 0 for none
+ * Creates the documents that publish `configuration` as the revision after `previous`.
+ * @param serviceVersion current version of the head in the configuration service; 0 if there is none
  */
 export function publishable(
   configuration: Configuration,
--- a/packages/configuration/test/revision-store.test.ts
+++ b/packages/configuration/test/revision-store.test.ts
@@ -20,10 +20,10 @@
 const GENESIS = { revision: 0, digest: '0'.repeat(64) };
 const first = publishable(configuration(['a']), GENESIS, 0);
 const second = publishable(configuration(['a', 'b']), first.head, 1);
-/** Planned against the first revision like `second`, but published after it. */
-const rival = publishable(configuration(['a', 'c']), first.head, 1);
+/** Planned against the first revision, like `second`, but published after `second`. */
+const concurrentSecond = publishable(configuration(['a', 'c']), first.head, 1);
 const third = publishable(configuration(['a', 'b', 'd']), second.head, 2);
-const thirdOnRival = publishable(configuration(['a', 'c', 'd']), rival.head, 2);
+const thirdOnConcurrent = publishable(configuration(['a', 'c', 'd']), concurrentSecond.head, 2);
 
 function accept(store: RevisionStore, published: Publishable, sourceVersion: number): string {
   return store.accept(published.head, sourceVersion, chunksOf(published)).match(
@@ -40,7 +40,7 @@
 
 const sequences: readonly { name: string; steps: readonly Step[] }[] = [
   {
-    name: 'revisions in order come into force',
+    name: 'revisions published in order are put in force',
     steps: [
       { published: first, sourceVersion: 1, expected: 'revision 1' },
       { published: second, sourceVersion: 2, expected: 'revision 2' },
@@ -55,33 +55,33 @@
     ],
   },
   {
-    name: 'of two operators who raced, the one who published first holds',
+    name: 'if two operators publish concurrently, the first publication wins',
     steps: [
       { published: second, sourceVersion: 2, expected: 'revision 2' },
-      { published: rival, sourceVersion: 3, expected: 'plan-mismatch' },
+      { published: concurrentSecond, sourceVersion: 3, expected: 'plan-mismatch' },
     ],
   },
   {
-    name: 'a node that sees only the second of two racing operators does not accept it',
+    name: 'a node that sees only the second of two concurrent publications refuses it',
     steps: [
       { published: first, sourceVersion: 1, expected: 'revision 1' },
-      { published: rival, sourceVersion: 3, expected: 'plan-mismatch' },
+      { published: concurrentSecond, sourceVersion: 3, expected: 'plan-mismatch' },
       { published: second, sourceVersion: 2, expected: 'revision 2' },
     ],
   },
   {
-    name: 'an empty node does not accept the second of two racing operators either',
-    steps: [{ published: rival, sourceVersion: 3, expected: 'plan-mismatch' }],
+    name: 'a node without a revision also refuses the second of two concurrent publications',
+    steps: [{ published: concurrentSecond, sourceVersion: 3, expected: 'plan-mismatch' }],
   },
   {
-    name: 'a revision planned against another predecessor is held back',
+    name: 'a revision planned against another predecessor is refused',
     steps: [
       { published: second, sourceVersion: 2, expected: 'revision 2' },
-      { published: thirdOnRival, sourceVersion: 3, expected: 'plan-mismatch' },
+      { published: thirdOnConcurrent, sourceVersion: 3, expected: 'plan-mismatch' },
     ],
   },
   {
-    name: 'a confirmed digest that is not that of the plan is held back',
+    name: 'a revision whose confirmed digest differs from the digest of its plan is refused',
     steps: [
       {
         published: { ...first, head: { ...first.head, planDigest: 'f'.repeat(64) } },
@@ -91,7 +91,7 @@
     ],
   },
   {
-    name: 'an intent that cannot be met is held back',
+    name: 'a configuration that the fleet cannot fulfil is refused',
     steps: [
       {
         published: publishable({ ...configuration(['a']), engines: [] }, GENESIS, 0),
@@ -109,7 +109,7 @@
   });
 }
 
-test('changing one adapter of many changes one chunk', (t) => {
+test('adding one adapter to many changes one chunk', (t) => {
   const names = Array.from({ length: 6000 }, (_unused, index) => `adapter-${index}`);
   const before = publishable(configuration(names), GENESIS, 0);
   const after = publishable(configuration([...names, 'one-more']), before.head, 1);
@@ -117,7 +117,7 @@
   t.is(after.head.chunks.filter((chunk) => !before.head.chunks.includes(chunk)).length, 1);
 });
 
-test('a damaged chunk is not put in force', (t) => {
+test('a revision with a damaged chunk is not put in force', (t) => {
   const store = new RevisionStore();
   const chunks = new Map([...chunksOf(first)].map(([key, value]) => [key, `${value} `]));
   t.is(store.accept(first.head, 1, chunks)._unsafeUnwrapErr().kind, 'chunk-damaged');
--- a/packages/membership/src/member-table.ts
+++ b/packages/membership/src/member-table.ts
@@ -11,7 +11,7 @@
   /** When this node first learnt of the current incarnation. */
   incarnationSeenAtMs: number;
   suspectedAtMs: number;
-  /** When the member became dead or left; 0 while it is present. */
+  /** When the member last became dead or left; used only in these states. */
   removedAtMs: number;
   /** Declares a suspected member dead when its time to refute is over. */
   suspicionTimer: Timer | undefined;
--- a/packages/ownership/src/engine-ownership.ts
+++ b/packages/ownership/src/engine-ownership.ts
@@ -151,7 +151,7 @@
     const report = await client.report();
     if (report.isErr()) return this.#waitForRetry(timing.retryDelayMs);
     const available = this.engine.checksFence
-      ? await this.#isReleased(report.value)
+      ? await this.#canClaim(report.value)
       : await this.#acquireFromWitnesses();
     if (!available || !this.#options.isDesiredOwner()) return this.#waitForRetry(timing.retryDelayMs);
     await this.#claim(report.value);
@@ -161,7 +161,7 @@
    * Whether the engine reports no holder other than this process, or one whose lease has expired, or one that
    * releases the engine on request.
    */
-  async #isReleased(report: EngineReport): Promise<boolean> {
+  async #canClaim(report: EngineReport): Promise<boolean> {
     if (report.holder === '' || report.holder === this.#options.holder) return true;
     const leaseLeftMs = report.leaseLeftMs - report.snapshotAgeMs;
     if (leaseLeftMs < 0) return true;
@@ -173,7 +173,7 @@
     const startedAtMs = this.#clock.now();
     if (!(await witnesses.acquire(this.engine.id, timing.witnessLeaseMs))) {
       // An owner that releases the engine also releases its lease at the witnesses, so the next attempt
-      // succeeds.
+      // can succeed.
       await this.#options.requestReleaseFromOwner();
       return false;
     }
--- a/packages/ownership/src/ownership-manager.ts
+++ b/packages/ownership/src/ownership-manager.ts
@@ -97,7 +97,10 @@
     });
   }
 
-  /** Reassigns the engines to the present members and starts or stops ownership tasks accordingly. */
+  /**
+   * Reassigns the engines to the present members. Ends the tasks of engines that were removed or have a new
+   * URL, wakes the other tasks, and starts one for each engine that this node should own and has no task for.
+   */
   reconcile(): void {
     if (this.#stopped) return;
     this.#desired = assignOwners(this.#engines, this.#options.present());
--- a/packages/placement/src/adapter-candidates.ts
+++ b/packages/placement/src/adapter-candidates.ts
@@ -2,34 +2,38 @@
 import { LRUCache } from 'lru-cache';
 import { hash32, mixScores } from './rendezvous.js';
 
-const CACHED_ADAPTERS = 4096;
-/** Candidates kept for an adapter; demand never spreads one further. */
-const CANDIDATE_LIMIT = 16;
+/** Maximum number of adapters whose candidates are cached. */
+const MAX_CACHED_ADAPTERS = 4096;
+/** Maximum number of candidates of an adapter. High demand never spreads an adapter over more engines. */
+const MAX_CANDIDATES = 16;
 
-/** Engines of one base model with the hashes of their names. */
+/** Engines of one base model with the hashes of their ids. */
 interface Pool {
   readonly engines: readonly EngineDefinition[];
   readonly hashes: Uint32Array;
 }
 
 /**
- * Engines on which an adapter may live, best first. Every node works them out from the configuration
- * alone, so no table of placements is shared.
+ * Computes the engines on which an adapter may be loaded, best first. Every node computes them from the
+ * configuration alone, so nodes share no placement table.
  */
 export class AdapterCandidates {
   readonly #index: ConfigurationIndex;
   readonly #pools = new Map<string, Pool>();
-  readonly #ranked = new LRUCache<string, readonly EngineDefinition[]>({ max: CACHED_ADAPTERS });
+  readonly #ranked = new LRUCache<string, readonly EngineDefinition[]>({ max: MAX_CACHED_ADAPTERS });
 
   constructor(index: ConfigurationIndex) {
     this.#index = index;
   }
 
-  /** The candidates of an adapter of `base`, up to the limit, leaving machines excluded. */
+  /**
+   * The candidates of an adapter of `base`, at most `MAX_CANDIDATES`. Engines on leaving machines are
+   * excluded.
+   */
   of(base: string, adapter: string): readonly EngineDefinition[] {
     const key = `${base}:${adapter}`;
-    const known = this.#ranked.get(key);
-    if (known !== undefined) return known;
+    const cached = this.#ranked.get(key);
+    if (cached !== undefined) return cached;
     const ranked = rank(hash32(key), this.#pool(base));
     this.#ranked.set(key, ranked);
     return ranked;
@@ -41,7 +45,7 @@
       const engines = this.#index
         .enginesOf(base)
         .filter((engine) => !this.#index.isLeaving(engine.machine))
-        // By name, so that equal scores are ordered alike on every node.
+        // Sorted by id, so that every node orders equal scores in the same way.
         .sort((a, b) => (a.id < b.id ? -1 : 1));
       pool = { engines, hashes: Uint32Array.from(engines, (engine) => hash32(engine.id)) };
       this.#pools.set(base, pool);
@@ -50,18 +54,21 @@
   }
 }
 
-/** The highest scores, by insertion into a short sorted list: cheaper than sorting all. */
+/**
+ * Returns the engines with the highest scores. Insertion into a short sorted list is cheaper than sorting
+ * all.
+ */
 function rank(keyHash: number, pool: Pool): readonly EngineDefinition[] {
   const scores: number[] = [];
   const best: EngineDefinition[] = [];
   for (let index = 0; index < pool.hashes.length; index += 1) {
     const score = mixScores(keyHash, pool.hashes[index] ?? 0);
-    if (best.length === CANDIDATE_LIMIT && score <= (scores.at(-1) ?? 0)) continue;
-    let place = best.length;
-    while (place > 0 && (scores[place - 1] ?? 0) < score) place -= 1;
-    scores.splice(place, 0, score);
-    best.splice(place, 0, pool.engines[index] as EngineDefinition);
-    if (best.length > CANDIDATE_LIMIT) {
+    if (best.length === MAX_CANDIDATES && score <= (scores.at(-1) ?? 0)) continue;
+    let position = best.length;
+    while (position > 0 && (scores[position - 1] ?? 0) < score) position -= 1;
+    scores.splice(position, 0, score);
+    best.splice(position, 0, pool.engines[index] as EngineDefinition);
+    if (best.length > MAX_CANDIDATES) {
       scores.pop();
       best.pop();
     }
--- a/packages/placement/src/demand-tracker.ts
+++ b/packages/placement/src/demand-tracker.ts
@@ -1,19 +1,22 @@
 import type { Clock } from '@canvasridge/clock';
 
+/** A count that decays exponentially; `value` is exact at `updatedAtMs`. */
 interface Counter {
   value: number;
   updatedAtMs: number;
 }
 
-const NEGLIGIBLE = 1e-3;
-const SWEEP_EVERY = 4096;
+/** Counters below this value are removed. */
+const NEGLIGIBLE_COUNT = 1e-3;
+/** Number of additions between two sweeps that remove negligible counters. */
+const SWEEP_INTERVAL = 4096;
 
-/** Decaying request counters: the recent rate of each adapter, old demand halving with each half-life. */
+/** Estimates the recent request rate of each adapter with counters that decay by half in each half-life. */
 export class DemandTracker {
   readonly #clock: Clock;
   readonly #halfLifeMs: number;
   readonly #counters = new Map<string, Counter>();
-  #added = 0;
+  #additions = 0;
 
   constructor(clock: Clock, halfLifeMs: number) {
     this.#clock = clock;
@@ -28,11 +31,11 @@
       counter.value = this.#decayed(counter, nowMs) + amount;
       counter.updatedAtMs = nowMs;
     }
-    this.#added += 1;
-    if (this.#added % SWEEP_EVERY === 0) this.#sweep(nowMs);
+    this.#additions += 1;
+    if (this.#additions % SWEEP_INTERVAL === 0) this.#sweep(nowMs);
   }
 
-  /** Requests a second, estimated from the decayed count. */
+  /** Requests per second, estimated from the decayed count. */
   rate(key: string): number {
     const counter = this.#counters.get(key);
     if (counter === undefined) return 0;
@@ -49,7 +52,7 @@
 
   #sweep(nowMs: number): void {
     for (const [key, counter] of this.#counters) {
-      if (this.#decayed(counter, nowMs) < NEGLIGIBLE) this.#counters.delete(key);
+      if (this.#decayed(counter, nowMs) < NEGLIGIBLE_COUNT) this.#counters.delete(key);
     }
   }
 }
--- a/packages/placement/src/eviction.ts
+++ b/packages/placement/src/eviction.ts
@@ -1,23 +1,29 @@
-/** A loaded adapter as eviction sees it. */
+/** What eviction considers about a loaded adapter. */
 export interface EvictionCandidate {
   readonly key: string;
-  /** Requests a second for it on this engine. */
+  /** Requests per second for the adapter on this engine. */
   readonly demand: number;
   readonly lastUsedAtMs: number;
   readonly pinned: boolean;
-  /** Whether another engine also holds it, so that dropping it here stalls nobody. */
+  /** Whether another engine also has it loaded, so that unloading it here blocks no request. */
   readonly replicated: boolean;
 }
 
-/** A replica that exists elsewhere too costs this share of a stall when it is dropped. */
-const REPLICATED_SHARE = 0.25;
+/** Cost of unloading an adapter that is also loaded elsewhere, as a fraction of the cost of a full reload. */
+const REPLICATED_COST_FACTOR = 0.25;
 
-/** Expected stall a second that dropping the adapter causes: the rate at which it must be loaded again. */
+/**
+ * Expected rate of stalls that unloading the adapter causes: the rate at which it would have to be reloaded.
+ */
 function reloadCost(candidate: EvictionCandidate): number {
-  return candidate.demand * (candidate.replicated ? REPLICATED_SHARE : 1);
+  return candidate.demand * (candidate.replicated ? REPLICATED_COST_FACTOR : 1);
 }
 
-/** The idle adapter whose loss costs least, by expected stall, then by age; undefined if none may go. */
+/**
+ * Chooses the adapter to evict: the one with the lowest reload cost, then the least recently used. Returns
+ * undefined if all candidates are pinned.
+ * @param candidates idle adapters
+ */
 export function chooseVictim(candidates: readonly EvictionCandidate[]): EvictionCandidate | undefined {
   let best: EvictionCandidate | undefined;
   for (const candidate of candidates) {
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,4 +1,6 @@
-/** Where adapters and engines belong, and what a choice costs in seconds. */
+/**
+ * Placement of adapters and owners by rendezvous hashing, eviction, load scheduling, and the cost of routes.
+ */
 export { hash32, rendezvousScore, mixScores, rankByRendezvous, highestRendezvous } from './rendezvous.js';
 export { AdapterCandidates } from './adapter-candidates.js';
 export { DemandTracker } from './demand-tracker.js';
--- a/packages/placement/src/load-queue.ts
+++ b/packages/placement/src/load-queue.ts
@@ -1,34 +1,38 @@
 import type { Clock, Timer } from '@canvasridge/clock';
 
-/** A load that an engine's owner wants. */
+/** A request of the owner of an engine to load an adapter. */
 export interface LoadWish {
   readonly engineId: string;
   readonly key: string;
-  /** Waiting requests times priority: loads that free more waiting work go first. */
+  /** Number of waiting requests times their priority: loads that unblock more waiting work start first. */
   readonly weight: number;
 }
 
-/** Permission to start one load; `finish` gives it back. */
+/** Permission to start one load. `finish` returns it. */
 export interface LoadGrant {
   finish(): void;
 }
 
-interface Waiting {
-  readonly wish: LoadWish;
-  readonly sinceMs: number;
+/** A queued load request. */
+interface QueuedLoad {
+  readonly request: LoadWish;
+  readonly queuedAtMs: number;
   readonly resolve: (grant: LoadGrant) => void;
 }
 
-/** Weight that a wish gains for each second it waits, so that light ones are served in the end. */
-const AGEING_PER_SECOND = 1;
-/** A grant that is never given back, because its holder went away, expires after this time. */
-const GRANT_LIMIT_MS = 30_000;
+/** Weight that a load request gains for each second it waits, so that light requests are not starved. */
+const WEIGHT_GAIN_PER_SECOND = 1;
+/** A grant expires after this time if it is not returned because its holder is gone. */
+const GRANT_EXPIRY_MS = 30_000;
 
-/** Shares out the weight store's rate and concurrency among wishes, heaviest first. */
+/**
+ * Limits the rate and concurrency of loads from the weight store. The load request with the highest weight is
+ * next.
+ */
 export class LoadQueue {
   readonly #clock: Clock;
   readonly #limits: () => { readonly loadsPerSecond: number; readonly concurrency: number };
-  readonly #waiting = new Set<Waiting>();
+  readonly #queued = new Set<QueuedLoad>();
   #active = 0;
   #nextStartMs = 0;
   #timer: Timer | undefined;
@@ -39,66 +43,66 @@
   }
 
   get length(): number {
-    return this.#waiting.size;
+    return this.#queued.size;
   }
 
   get active(): number {
     return this.#active;
   }
 
-  /** Resolves when the load may start; undefined when `signal` aborted first. */
-  acquire(wish: LoadWish, signal: AbortSignal): Promise<LoadGrant | undefined> {
+  /** Resolves with a grant when the load may start, or with undefined if `signal` is aborted first. */
+  acquire(request: LoadWish, signal: AbortSignal): Promise<LoadGrant | undefined> {
     if (signal.aborted) return Promise.resolve(undefined);
     return new Promise((resolve) => {
-      const withdraw = (): void => {
-        this.#waiting.delete(entry);
+      const handleAbort = (): void => {
+        this.#queued.delete(entry);
         resolve(undefined);
       };
-      const entry: Waiting = {
-        wish,
-        sinceMs: this.#clock.now(),
+      const entry: QueuedLoad = {
+        request,
+        queuedAtMs: this.#clock.now(),
         resolve: (grant) => {
-          signal.removeEventListener('abort', withdraw);
+          signal.removeEventListener('abort', handleAbort);
           resolve(grant);
         },
       };
-      signal.addEventListener('abort', withdraw, { once: true });
-      this.#waiting.add(entry);
-      this.#serve();
+      signal.addEventListener('abort', handleAbort, { once: true });
+      this.#queued.add(entry);
+      this.#startNext();
     });
   }
 
-  #serve(): void {
+  #startNext(): void {
     const limits = this.#limits();
-    while (this.#waiting.size > 0 && this.#active < limits.concurrency) {
+    while (this.#queued.size > 0 && this.#active < limits.concurrency) {
       const delayMs = this.#nextStartMs - this.#clock.now();
       if (delayMs > 0) {
-        this.#serveLater(delayMs);
+        this.#startLater(delayMs);
         return;
       }
-      const next = this.#heaviest();
+      const next = this.#nextQueued();
       if (next === undefined) return;
-      this.#waiting.delete(next);
+      this.#queued.delete(next);
       this.#active += 1;
       this.#nextStartMs = this.#clock.now() + 1000 / limits.loadsPerSecond;
       next.resolve(this.#newGrant());
     }
   }
 
-  #serveLater(delayMs: number): void {
+  #startLater(delayMs: number): void {
     if (this.#timer !== undefined) return;
     this.#timer = this.#clock.setTimer(delayMs, () => {
       this.#timer = undefined;
-      this.#serve();
+      this.#startNext();
     });
   }
 
-  #heaviest(): Waiting | undefined {
+  #nextQueued(): QueuedLoad | undefined {
     const nowMs = this.#clock.now();
-    let best: Waiting | undefined;
+    let best: QueuedLoad | undefined;
     let bestWeight = -Infinity;
-    for (const entry of this.#waiting) {
-      const weight = entry.wish.weight + ((nowMs - entry.sinceMs) / 1000) * AGEING_PER_SECOND;
+    for (const entry of this.#queued) {
+      const weight = entry.request.weight + ((nowMs - entry.queuedAtMs) / 1000) * WEIGHT_GAIN_PER_SECOND;
       if (weight <= bestWeight) continue;
       best = entry;
       bestWeight = weight;
@@ -113,9 +117,9 @@
       finished = true;
       expiry.cancel();
       this.#active -= 1;
-      this.#serve();
+      this.#startNext();
     };
-    const expiry = this.#clock.setTimer(GRANT_LIMIT_MS, finish);
+    const expiry = this.#clock.setTimer(GRANT_EXPIRY_MS, finish);
     return { finish };
   }
 }
--- a/packages/placement/src/rendezvous.ts
+++ b/packages/placement/src/rendezvous.ts
@@ -7,23 +7,30 @@
   return hasher.h32(text);
 }
 
-/** Weight of placing `key` on `candidate` (highest random weight, Thaler and Ravishankar, 1998). */
+/**
+ * Score of `candidate` for `key` in rendezvous (highest random weight) hashing (Thaler and Ravishankar,
+ * 1998).
+ */
 export function rendezvousScore(key: string, candidate: string): number {
   return hasher.h32(`${key}\u0000${candidate}`);
 }
 
-const MIX_1 = 0x85ebca6b;
-const MIX_2 = 0xc2b2ae35;
+/** Multipliers of the 32-bit finalizer of MurmurHash3. */
+const MURMUR_MULTIPLIER_1 = 0x85ebca6b;
+const MURMUR_MULTIPLIER_2 = 0xc2b2ae35;
 
-/** Score from two hashes, by the finalizer of MurmurHash3: as even as hashing both texts, at a fraction of its cost. */
+/**
+ * Computes a rendezvous score from two hashes with the finalizer of MurmurHash3. It is as evenly distributed
+ * as a hash of both texts, at a fraction of the cost.
+ */
 export function mixScores(keyHash: number, candidateHash: number): number {
-  let mixed = keyHash ^ Math.imul(candidateHash, MIX_1);
-  mixed = Math.imul(mixed ^ (mixed >>> 16), MIX_1);
-  mixed = Math.imul(mixed ^ (mixed >>> 13), MIX_2);
+  let mixed = keyHash ^ Math.imul(candidateHash, MURMUR_MULTIPLIER_1);
+  mixed = Math.imul(mixed ^ (mixed >>> 16), MURMUR_MULTIPLIER_1);
+  mixed = Math.imul(mixed ^ (mixed >>> 13), MURMUR_MULTIPLIER_2);
   return (mixed ^ (mixed >>> 16)) >>> 0;
 }
 
-/** Candidates by falling score; ties go to the smaller name, so that all nodes agree. */
+/** Sorts candidates by descending score, and equal scores by ascending name, so that all nodes agree. */
 export function rankByRendezvous<T>(key: string, candidates: readonly T[], nameOf: (item: T) => string): T[] {
   return candidates
     .map((candidate) => ({
@@ -35,7 +42,7 @@
     .map((entry) => entry.candidate);
 }
 
-/** The candidate with the highest score, without sorting. */
+/** Returns the first candidate in the order of `rankByRendezvous`, without sorting. */
 export function highestRendezvous<T>(
   key: string,
   candidates: readonly T[],
--- a/packages/placement/src/route-cost.ts
+++ b/packages/placement/src/route-cost.ts
@@ -1,48 +1,51 @@
-/** What a node knows of an engine when it chooses one for a request. */
+/** What a node knows about an engine when it chooses one for a request. */
 export interface EngineOutlook {
   readonly engineId: string;
-  /** Whether the adapter is there, on its way there, or neither. */
+  /** Whether the adapter is loaded on the engine, is being loaded, or neither. */
   readonly adapter: 'loaded' | 'loading' | 'absent';
   readonly running: number;
   readonly queued: number;
   readonly maxBatch: number;
-  /** Slots that are empty or hold an idle adapter. */
+  /** Number of slots that are empty or hold an idle adapter. */
   readonly reclaimableSlots: number;
-  /** Position among the adapter's candidates by rendezvous, 0 the first. */
+  /** Position in the rendezvous ranking of the adapter's candidates, starting at 0. */
   readonly rank: number;
   readonly sameZone: boolean;
 }
 
+/** Estimated delays of a request on one engine. */
 export interface RouteEstimate {
   /** Expected seconds until the first token. */
   readonly waitSeconds: number;
-  /** The part of it that is an adapter load. */
+  /** Expected seconds until the adapter is loaded. */
   readonly stallSeconds: number;
 }
 
-/** Times that estimates start from, measured by the node while it runs. */
-export interface RouteTimes {
-  /** One adapter load, from order to ready, in seconds. */
+/** Durations on which estimates are based, measured by the node while it runs. */
+export interface RouteTimings {
+  /** Duration of one adapter load, from the order until the adapter is ready, in seconds. */
   readonly loadSeconds: number;
-  /** Loads waiting for the weight store times the gap between two, in seconds. */
+  /** Number of loads waiting for the weight store times the interval between two loads, in seconds. */
   readonly loadQueueSeconds: number;
-  /** Mean length of a generation, in seconds. */
+  /** Mean duration of a generation, in seconds. */
   readonly serviceSeconds: number;
 }
 
-const ZONE_HOP_SECONDS = 0.003;
-const BUSY_SLOT_SECONDS = 0.5;
+/** Extra time to the first token on an engine in another zone. */
+const CROSS_ZONE_SECONDS = 0.003;
+/** Extra time to load an adapter on an engine without a reclaimable slot. */
+const SLOT_WAIT_SECONDS = 0.5;
 
-/** Expected wait on one engine. */
-export function estimateSeconds(engine: EngineOutlook, times: RouteTimes): RouteEstimate {
-  const beyondBatch = Math.max(0, engine.running + engine.queued + 1 - engine.maxBatch);
-  const queueSeconds = (beyondBatch * times.serviceSeconds) / engine.maxBatch;
+/** Estimates the wait for the first token on one engine. */
+export function estimateSeconds(engine: EngineOutlook, times: RouteTimings): RouteEstimate {
+  const excessRequests = Math.max(0, engine.running + engine.queued + 1 - engine.maxBatch);
+  const queueSeconds = (excessRequests * times.serviceSeconds) / engine.maxBatch;
   const stallSeconds = expectedStall(engine, times);
-  const zoneSeconds = engine.sameZone ? 0 : ZONE_HOP_SECONDS;
+  const zoneSeconds = engine.sameZone ? 0 : CROSS_ZONE_SECONDS;
   return { waitSeconds: Math.max(queueSeconds, stallSeconds) + zoneSeconds, stallSeconds };
 }
 
-function expectedStall(engine: EngineOutlook, times: RouteTimes): number {
+function expectedStall(engine: EngineOutlook, times: RouteTimings): number {
   switch (engine.adapter) {
     case 'loaded':
       return 0;
@@ -50,18 +53,19 @@
       return times.loadSeconds / 2;
     case 'absent':
       return (
-        times.loadSeconds + times.loadQueueSeconds + (engine.reclaimableSlots > 0 ? 0 : BUSY_SLOT_SECONDS)
+        times.loadSeconds + times.loadQueueSeconds + (engine.reclaimableSlots > 0 ? 0 : SLOT_WAIT_SECONDS)
       );
   }
 }
 
 /**
- * The engine with the least cost. `stallWeight` 1 counts expected seconds alone; towards 0, an engine
- * whose batch is emptier counts as dearer, so that requests gather in full batches.
+ * Chooses the engine with the lowest cost. With `stallWeight` 1, emptier engines cost less, so that requests
+ * spread. Towards 0, engines with emptier batches cost more, so that requests are concentrated in full
+ * batches.
  */
 export function chooseEngine(
   engines: readonly EngineOutlook[],
-  times: RouteTimes,
+  times: RouteTimings,
   stallWeight: number,
 ): EngineOutlook | undefined {
   let best: EngineOutlook | undefined;
@@ -75,15 +79,17 @@
   return best;
 }
 
-const GATHERING_SECONDS = 0.1;
+/** Maximum cost that the occupancy of the batch adds to a route. */
+const OCCUPANCY_SECONDS = 0.1;
+/** Cost of each position in the rendezvous ranking if the adapter must be loaded. */
 const RANK_SECONDS = 0.02;
 
-function routeCost(engine: EngineOutlook, times: RouteTimes, stallWeight: number): number {
+function routeCost(engine: EngineOutlook, times: RouteTimings, stallWeight: number): number {
   const { waitSeconds } = estimateSeconds(engine, times);
   const occupancy = Math.min(1, (engine.running + engine.queued) / engine.maxBatch);
-  const gathering = (1 - stallWeight) * GATHERING_SECONDS * (1 - occupancy);
-  const spreading = stallWeight * GATHERING_SECONDS * occupancy;
-  // Lower ranks cost a little, so that replicas form only where the first candidates are busy.
+  const emptyBatchCost = (1 - stallWeight) * OCCUPANCY_SECONDS * (1 - occupancy);
+  const fullBatchCost = stallWeight * OCCUPANCY_SECONDS * occupancy;
+  // Later candidates cost slightly more, so that replicas are created only if the first candidates are busy.
   const rank = engine.adapter === 'absent' ? engine.rank * RANK_SECONDS : 0;
-  return waitSeconds + gathering + spreading + rank;
+  return waitSeconds + emptyBatchCost + fullBatchCost + rank;
 }
