--- a/packages/membership/test/later-builds.test.ts
+++ b/packages/membership/test/later-builds.test.ts
@@ -1,4 +1,7 @@
-/** Datagrams as a later build may send them: what is not known is passed over by itself, and the rest of the datagram counts. */
+/**
+ * Datagrams with content of a later build: unknown parts are skipped individually, and the rest of the
+ * datagram is still processed.
+ */
 import fc from 'fast-check';
 import test from 'ava';
 import { Random, VirtualClock } from '@canvasridge/clock';
@@ -6,38 +9,42 @@
 import { pack } from 'msgpackr';
 import { Membership, decodeMessage, type DatagramTransport } from '../src/index.js';
 
-const KNOWN = [0, 'b', 1, 1, 5];
+const KNOWN_UPDATE = [0, 'b', 1, 1, 5];
 
-function datagram(updates: readonly unknown[], kind = 'gossip', more: readonly unknown[] = []): Uint8Array {
-  return pack([kind, 'a', 1, 2, '', updates, ...more]);
+function datagram(
+  updates: readonly unknown[],
+  kind = 'gossip',
+  extraElements: readonly unknown[] = [],
+): Uint8Array {
+  return pack([kind, 'a', 1, 2, '', updates, ...extraElements]);
 }
 
-test('an update that is not known is passed over, and those beside it count', (t) => {
+test('an unknown update is skipped, and the other updates of the message are decoded', (t) => {
   for (const unknown of [[9, 'x'], [0, 'b'], 'text', null, { code: 1 }, [], [2, 'b', 'k', -1, {}]]) {
-    const decoded = decodeMessage(datagram([KNOWN, unknown, KNOWN]));
+    const decoded = decodeMessage(datagram([KNOWN_UPDATE, unknown, KNOWN_UPDATE]));
     t.is(decoded?.updates.length, 2, JSON.stringify(unknown));
     t.is(decoded?.unrecognisedCount, 1);
   }
 });
 
-test('positions beyond the known ones are passed over, of updates and of messages', (t) => {
-  const decoded = decodeMessage(datagram([[...KNOWN, 'later', 7]], 'ping', [{ level: 2 }]));
+test('additional elements at the end of updates and messages are ignored', (t) => {
+  const decoded = decodeMessage(datagram([[...KNOWN_UPDATE, 'later', 7]], 'ping', [{ level: 2 }]));
   t.is(decoded?.unrecognisedCount, 0);
   t.like(decoded?.message, { kind: 'ping', sender: 'a', sequence: 2 });
   t.like(decoded?.updates[0], { kind: 'member-state', id: 'b', suspicionAgeMs: 5 });
 });
 
-test('of a message of an unknown kind its updates count, and it asks for nothing', (t) => {
-  const decoded = decodeMessage(datagram([KNOWN], 'later-kind'));
+test('a message of unknown kind is decoded as gossip with its updates', (t) => {
+  const decoded = decodeMessage(datagram([KNOWN_UPDATE], 'later-kind'));
   t.like(decoded, { unrecognisedCount: 1, message: { kind: 'gossip' } });
   t.is(decoded?.updates.length, 1);
 });
 
-test('however updates are mutated, those that were left as they are count', (t) => {
+test('an intact update is decoded whatever the other updates contain', (t) => {
   const junk = fc.oneof(fc.anything(), fc.array(fc.anything(), { maxLength: 12 }));
   fc.assert(
-    fc.property(fc.array(junk, { maxLength: 6 }), fc.nat(6), (others, at) => {
-      const updates = [...others.slice(0, at), KNOWN, ...others.slice(at)];
+    fc.property(fc.array(junk, { maxLength: 6 }), fc.nat(6), (otherUpdates, position) => {
+      const updates = [...otherUpdates.slice(0, position), KNOWN_UPDATE, ...otherUpdates.slice(position)];
       const decoded = decodeMessage(datagram(updates));
       return (
         decoded === undefined ||
@@ -49,9 +56,9 @@
   t.pass();
 });
 
-test('a member takes news that stand beside unknown ones, and writes one line of it', async (t) => {
+test('a member applies updates received with unknown ones, and logs the unknown ones once', async (t) => {
   const clock = new VirtualClock();
-  const lines: string[] = [];
+  const loggedEvents: string[] = [];
   let receive: (from: string, bytes: Uint8Array) => void = () => undefined;
   const transport: DatagramTransport = {
     localAddress: 'me:1',
@@ -62,7 +69,7 @@
     close: () => undefined,
   };
   const telemetry = new Telemetry({ processName: 'me', clock });
-  telemetry.event = (_level, name) => lines.push(name);
+  telemetry.event = (_level, name) => loggedEvents.push(name);
   const member = new Membership({
     identity: {
       id: 'me',
@@ -87,6 +94,6 @@
   for (let index = 0; index < 3; index += 1) receive('b:1', datagram([[9, 'later'], other]));
   await clock.runUntil(10);
   t.is(member.get('b')?.processToken, 'token');
-  t.is(lines.filter((name) => name === 'membership.unread').length, 1);
+  t.is(loggedEvents.filter((name) => name === 'membership.unread').length, 1);
   member.stop();
 });
--- a/packages/membership/test/membership.test.ts
+++ b/packages/membership/test/membership.test.ts
@@ -4,7 +4,7 @@
 import { Telemetry } from '@canvasridge/telemetry';
 import { Membership, decodeMessage, encodeMessage, type DatagramTransport } from '../src/index.js';
 
-test('no bytes make the decoder throw', (t) => {
+test('the decoder never throws, whatever the bytes', (t) => {
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 400 }), (bytes) => {
       decodeMessage(bytes);
@@ -15,7 +15,7 @@
   t.pass();
 });
 
-test('messages that were damaged on the way are dropped or still well-formed', (t) => {
+test('a message with a corrupted byte is dropped or decoded to a well-formed message', (t) => {
   const message = {
     kind: 'ping',
     sender: 'a',
@@ -27,9 +27,9 @@
   const bytes = encodeMessage(message);
   t.deepEqual(decodeMessage(bytes)?.message, { ...message, updates: [[0, 'b', 1, 1, 5]] });
   fc.assert(
-    fc.property(fc.nat(bytes.length - 1), fc.nat(255), (at, value) => {
+    fc.property(fc.nat(bytes.length - 1), fc.nat(255), (position, value) => {
       const damaged = Uint8Array.from(bytes);
-      damaged[at] = value;
+      damaged[position] = value;
       const decoded = decodeMessage(damaged);
       return decoded === undefined || Array.isArray(decoded.updates);
     }),
@@ -37,17 +37,17 @@
   );
 });
 
-/** Members on one virtual wire, which can be cut for some of them. */
-class Wire {
+/** Simulated network of members on a virtual clock. Members can be disconnected from it. */
+class SimulatedNetwork {
   readonly clock = new VirtualClock();
-  readonly cut = new Set<string>();
+  readonly disconnected = new Set<string>();
   readonly #receivers = new Map<string, (from: string, bytes: Uint8Array) => void>();
 
   transport(address: string): DatagramTransport {
     return {
       localAddress: address,
       send: (to, bytes) => {
-        if (this.cut.has(address) || this.cut.has(to)) return;
+        if (this.disconnected.has(address) || this.disconnected.has(to)) return;
         this.clock.setTimer(1, () => this.#receivers.get(to)?.(address, bytes));
       },
       onMessage: (receiver) => this.#receivers.set(address, receiver),
@@ -83,9 +83,9 @@
 
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f'] as const;
 
-async function startAll(wire: Wire): Promise<Map<string, Membership>> {
-  const members = new Map(NAMES.map((name) => [name as string, wire.member(name, [...NAMES])]));
-  await wire.clock.runUntil(10_000);
+async function startAll(network: SimulatedNetwork): Promise<Map<string, Membership>> {
+  const members = new Map(NAMES.map((name) => [name as string, network.member(name, [...NAMES])]));
+  await network.clock.runUntil(10_000);
   return members;
 }
 
@@ -93,75 +93,75 @@
   return members.get(observer)?.get(id)?.state;
 }
 
-test('members that start together all learn of each other', async (t) => {
-  const members = await startAll(new Wire());
+test('members that start at the same time all discover each other', async (t) => {
+  const members = await startAll(new SimulatedNetwork());
   for (const member of members.values()) t.is(member.present().length, NAMES.length);
 });
 
-test('a crash is known everywhere within ten seconds', async (t) => {
-  const wire = new Wire();
-  const members = await startAll(wire);
+test('all members detect a crash within ten seconds', async (t) => {
+  const network = new SimulatedNetwork();
+  const members = await startAll(network);
   members.get('a')?.stop();
-  await wire.clock.runUntil(20_000);
+  await network.clock.runUntil(20_000);
   for (const name of NAMES.slice(1)) t.is(stateOf(members, name, 'a'), 'dead');
 });
 
-test('a member that was cut off is taken in again when the wire heals', async (t) => {
-  const wire = new Wire();
-  const members = await startAll(wire);
-  wire.cut.add('b');
-  await wire.clock.runUntil(30_000);
+test('a disconnected member is alive for all others again after it reconnects', async (t) => {
+  const network = new SimulatedNetwork();
+  const members = await startAll(network);
+  network.disconnected.add('b');
+  await network.clock.runUntil(30_000);
   t.is(stateOf(members, 'a', 'b'), 'dead');
-  wire.cut.delete('b');
-  await wire.clock.runUntil(60_000);
+  network.disconnected.delete('b');
+  await network.clock.runUntil(60_000);
   for (const name of NAMES) t.is(stateOf(members, name, 'b'), 'alive');
 });
 
-test('a member that is asked after a cut is taken in at once, and what both missed is compared', async (t) => {
-  const wire = new Wire();
-  const members = await startAll(wire);
-  wire.cut.add('b');
-  await wire.clock.runUntil(30_000);
+test('a member pinged after a disconnection is alive immediately, and a comparison delivers missed records', async (t) => {
+  const network = new SimulatedNetwork();
+  const members = await startAll(network);
+  network.disconnected.add('b');
+  await network.clock.runUntil(30_000);
   members.get('a')?.publish('key', 'news');
-  await wire.clock.runUntil(40_000);
-  wire.cut.delete('b');
+  await network.clock.runUntil(40_000);
+  network.disconnected.delete('b');
   const answered = members.get('b')?.inReach(['a', 'c'], 300) ?? Promise.resolve([]);
-  await wire.clock.runUntil(40_100);
+  await network.clock.runUntil(40_100);
   t.deepEqual(await answered, ['a', 'c']);
   for (const id of ['a', 'c']) t.is(stateOf(members, 'b', id), 'alive');
   members.get('b')?.compareWith(['a']);
-  await wire.clock.runUntil(40_200);
+  await network.clock.runUntil(40_200);
   const values = [...(members.get('b')?.recordsOf('a') ?? [])].map(({ value }) => value);
   t.deepEqual(values, ['news']);
 });
 
-test('a restarted member learns of all others, and they of its new process', async (t) => {
-  const wire = new Wire();
-  const members = await startAll(wire);
+test('a restarted member discovers all others, and they learn of its new process', async (t) => {
+  const network = new SimulatedNetwork();
+  const members = await startAll(network);
   members.get('c')?.stop();
-  await wire.clock.runUntil(25_000);
-  const restarted = wire.member('c', [...NAMES], 'second');
-  await wire.clock.runUntil(45_000);
+  await network.clock.runUntil(25_000);
+  const restarted = network.member('c', [...NAMES], 'second');
+  await network.clock.runUntil(45_000);
   t.is(restarted.present().length, NAMES.length);
   t.is(members.get('a')?.get('c')?.processToken, 'second');
 });
 
-test('a drain and a departure are known everywhere within five seconds', async (t) => {
-  const wire = new Wire();
-  const members = await startAll(wire);
+test('members learn of a drain and of a departure within five seconds', async (t) => {
+  const network = new SimulatedNetwork();
+  const members = await startAll(network);
   members.get('d')?.drain();
-  await wire.clock.runUntil(15_000);
+  await network.clock.runUntil(15_000);
   for (const name of NAMES) t.is(stateOf(members, name, 'd'), 'draining');
   members.get('d')?.leave();
-  await wire.clock.runUntil(20_000);
+  await network.clock.runUntil(20_000);
   for (const name of NAMES.slice(0, 3)) t.is(stateOf(members, name, 'd'), 'left');
 });
 
-test('a record reaches every member, and the newest value holds', async (t) => {
-  const wire = new Wire();
-  const members = await startAll(wire);
+test('a record reaches every member, and its newest value takes precedence', async (t) => {
+  const network = new SimulatedNetwork();
+  const members = await startAll(network);
   members.get('a')?.publish('k', 1);
   members.get('a')?.publish('k', 2);
-  await wire.clock.runUntil(60_000);
+  await network.clock.runUntil(60_000);
   for (const member of members.values()) t.is([...member.recordsOf('a')][0]?.value, 2);
 });
