--- a/packages/slots/src/adapter-loader.ts
+++ b/packages/slots/src/adapter-loader.ts
@@ -3,8 +3,8 @@
 import type { EngineEntry } from './engine-entry.js';
 import type { AdapterSlot, EngineSlots } from './engine-slots.js';
 import { FetchWindow } from './fetch-window.js';
-import type { LoadChoice } from './load-placement.js';
-import { LoadTime } from './load-time.js';
+import type { LoadPlacement } from './load-placement.js';
+import { LoadTimeEstimate } from './load-time-estimate.js';
 import type { SlotTiming } from './timing.js';
 
 export interface AdapterLoaderOptions {
@@ -21,7 +21,7 @@
 }
 
 /** A first use up to this many guesses after the order tells whether the guess was long enough. */
-const TELLING_FACTOR = 1.2;
+const EARLY_USE_FACTOR = 1.2;
 const RETRY_PRESENCE_MS = 50;
 /** An adapter that a report shows on its way is tried after this time. */
 const ADOPTED_ARRIVAL_MS = 150;
@@ -34,50 +34,50 @@
  */
 export class AdapterLoader {
   readonly #options: AdapterLoaderOptions;
-  readonly #coldTime: LoadTime;
-  readonly #warmTime: LoadTime;
-  readonly #window: FetchWindow;
+  readonly #coldEstimate: LoadTimeEstimate;
+  readonly #warmEstimate: LoadTimeEstimate;
+  readonly #fetchWindow: FetchWindow;
 
   constructor(options: AdapterLoaderOptions) {
     this.#options = options;
-    this.#coldTime = new LoadTime(options.clock, options.timing.coldLoadMs);
-    this.#warmTime = new LoadTime(options.clock, options.timing.warmLoadMs);
-    this.#window = new FetchWindow(options.clock, options.timing.coldLoadMs);
+    this.#coldEstimate = new LoadTimeEstimate(options.clock, options.timing.coldLoadMs);
+    this.#warmEstimate = new LoadTimeEstimate(options.clock, options.timing.warmLoadMs);
+    this.#fetchWindow = new FetchWindow(options.clock, options.timing.coldLoadMs);
   }
 
   /** Present guess of how long a fetch from the weight store takes, in milliseconds. */
   get coldLoadMs(): number {
-    return this.#coldTime.guessMs;
+    return this.#coldEstimate.estimateMs;
   }
 
   /** The same for a load from the engine's own memory. */
   get warmLoadMs(): number {
-    return this.#warmTime.guessMs;
+    return this.#warmEstimate.estimateMs;
   }
 
   /** So many engines are listed. */
-  expectEngines(count: number): void {
-    this.#window.expect(count);
+  setEngineCount(count: number): void {
+    this.#fetchWindow.setEngineCount(count);
   }
 
   /** Fetches from the weight store that may be under way at the same time. */
   get fetchWindow(): number {
-    return this.#window.size;
+    return this.#fetchWindow.size;
   }
 
   /** Loads an adapter, in place of another one if need be. Its slot is taken from the first moment on. */
-  async load(entry: EngineEntry, choice: LoadChoice, model: string, adapter: string): Promise<void> {
+  async load(entry: EngineEntry, placement: LoadPlacement, model: string, adapter: string): Promise<void> {
     const { slots, lease } = entry;
-    const { victim, warm } = choice;
+    const { victim, warm } = placement;
     const { clock, memory, adapterVersion } = this.#options;
     if (victim !== undefined) victim.state = 'unloading';
     const isNewVersion = victim !== undefined && victim.model === model && victim.adapter === adapter;
-    const early = isNewVersion ? undefined : slots.reserve(model, adapter, 0, warm, clock.now());
-    if (victim !== undefined && !(await this.#makeWay(entry, victim))) {
-      if (early !== undefined) slots.removeIfSame(early);
+    const reserved = isNewVersion ? undefined : slots.reserve(model, adapter, 0, warm, clock.now());
+    if (victim !== undefined && !(await this.#unload(entry, victim))) {
+      if (reserved !== undefined) slots.removeIfSame(reserved);
       return;
     }
-    const slot = early ?? slots.reserve(model, adapter, 0, warm, clock.now());
+    const slot = reserved ?? slots.reserve(model, adapter, 0, warm, clock.now());
     // A report that was read meanwhile may have changed what is here.
     if (slots.get(slot.key) !== slot || !slots.isWithinLimits()) {
       slots.removeIfSame(slot);
@@ -89,9 +89,9 @@
     const reply = await lease.order({ action: 'load', model, adapter });
     if (reply.kind === 'accepted' || reply.kind === 'done') {
       memory.note(slots.backend.id, slot.key);
-      const guessMs = slot.warm ? this.#warmTime.guessMs : this.#coldTime.guessMs;
-      const leftMs = reply.kind === 'done' ? 0 : slot.orderedMs + guessMs - clock.now();
-      this.#options.after(Math.max(leftMs, 0), () => this.#arrived(slot));
+      const estimateMs = slot.warm ? this.#warmEstimate.estimateMs : this.#coldEstimate.estimateMs;
+      const leftMs = reply.kind === 'done' ? 0 : slot.orderedMs + estimateMs - clock.now();
+      this.#options.after(Math.max(leftMs, 0), () => this.#markLoaded(slot));
     } else if (reply.kind !== 'unknown') {
       slots.removeIfSame(slot);
       this.#options.onChange();
@@ -99,7 +99,7 @@
   }
 
   /** Unloads an adapter. Returns whether it is gone. */
-  async #makeWay(entry: EngineEntry, victim: AdapterSlot): Promise<boolean> {
+  async #unload(entry: EngineEntry, victim: AdapterSlot): Promise<boolean> {
     const { slots, lease } = entry;
     const reply = await lease.order({ action: 'unload', model: victim.model, adapter: victim.adapter });
     if (reply.kind === 'done') {
@@ -113,19 +113,19 @@
   }
 
   /** A request ran on the adapter, so it was there in time. */
-  served(slot: AdapterSlot): void {
+  recordServed(slot: AdapterSlot): void {
     slot.confirmed = true;
     if (slot.orderedMs === 0) return;
-    const time = slot.warm ? this.#warmTime : this.#coldTime;
+    const estimate = slot.warm ? this.#warmEstimate : this.#coldEstimate;
     const tookMs = slot.firstUsedMs - slot.orderedMs;
-    if (!slot.warm) this.#window.present(tookMs, this.#options.fetchesUnderWay());
+    if (!slot.warm) this.#fetchWindow.recordArrival(tookMs, this.#options.fetchesUnderWay());
     // A request that came long after the load tells nothing of how long the guess has to be.
-    if (tookMs <= time.guessMs * TELLING_FACTOR) time.longEnough();
+    if (tookMs <= estimate.estimateMs * EARLY_USE_FACTOR) estimate.decrease();
     slot.orderedMs = 0;
   }
 
   /** The engine did not have what it was thought to have: too early, or it lost it. */
-  missing(entry: EngineEntry, slot: AdapterSlot): void {
+  handleMissing(entry: EngineEntry, slot: AdapterSlot): void {
     const nowMs = this.#options.clock.now();
     if (entry.slots.get(slot.key) !== slot || slot.state !== 'loaded') return;
     const isRecent = slot.orderedMs > 0 && nowMs - slot.orderedMs < LOST_ADAPTER_MS;
@@ -140,24 +140,24 @@
     if (slot.warm) {
       // It was not in the engine's memory after all, and is being fetched.
       slot.warm = false;
-      const leftMs = slot.orderedMs + this.#coldTime.guessMs - nowMs;
-      this.#options.after(Math.max(leftMs, RETRY_PRESENCE_MS), () => this.#arrived(slot));
+      const leftMs = slot.orderedMs + this.#coldEstimate.estimateMs - nowMs;
+      this.#options.after(Math.max(leftMs, RETRY_PRESENCE_MS), () => this.#markLoaded(slot));
       return;
     }
-    this.#coldTime.tooShort();
+    this.#coldEstimate.increase();
     const fetch = `${entry.slots.backend.id}/${slot.key}`;
-    this.#window.missing(fetch, nowMs - slot.orderedMs, this.#options.fetchesUnderWay());
-    this.#options.after(RETRY_PRESENCE_MS, () => this.#arrived(slot));
+    this.#fetchWindow.recordMissing(fetch, nowMs - slot.orderedMs, this.#options.fetchesUnderWay());
+    this.#options.after(RETRY_PRESENCE_MS, () => this.#markLoaded(slot));
   }
 
   /** Adapters that a report shows on their way arrive without an order from here. */
   awaitPending(slots: EngineSlots): void {
     for (const slot of slots.slots.values()) {
-      if (slot.state === 'loading') this.#options.after(ADOPTED_ARRIVAL_MS, () => this.#arrived(slot));
+      if (slot.state === 'loading') this.#options.after(ADOPTED_ARRIVAL_MS, () => this.#markLoaded(slot));
     }
   }
 
-  #arrived(slot: AdapterSlot): void {
+  #markLoaded(slot: AdapterSlot): void {
     if (slot.state !== 'loading') return;
     slot.state = 'loaded';
     this.#options.onChange();
--- a/packages/slots/src/adapter-memory.ts
+++ b/packages/slots/src/adapter-memory.ts
@@ -2,7 +2,7 @@
 import { LRUCache } from 'lru-cache';
 
 /** Adapters that an engine keeps in its host memory, the loaded ones included: a little less than engines are known to keep. */
-const KEPT_ADAPTERS = 34;
+const CAPACITY = 34;
 
 /**
  * Which adapters each engine likely has in its host memory, from where they load about ten times as fast as
@@ -10,7 +10,7 @@
  * node, so that a new leader knows most of it.
  */
 export class AdapterMemory {
-  readonly #kept = new Map<string, LRUCache<string, true>>();
+  readonly #cached = new Map<string, LRUCache<string, true>>();
 
   /** Notes what the published list shows, and forgets engines that are gone. */
   observe(backends: Iterable<BackendDescription>): void {
@@ -21,20 +21,20 @@
         for (const { name } of model.adapters) this.note(backend.id, adapterKey(model.name, name));
       }
     }
-    for (const id of [...this.#kept.keys()]) if (!listed.has(id)) this.#kept.delete(id);
+    for (const id of [...this.#cached.keys()]) if (!listed.has(id)) this.#cached.delete(id);
   }
 
   /** An adapter is loaded or used on an engine. */
   note(engineId: string, key: string): void {
-    let kept = this.#kept.get(engineId);
+    let kept = this.#cached.get(engineId);
     if (kept === undefined) {
-      kept = new LRUCache({ max: KEPT_ADAPTERS });
-      this.#kept.set(engineId, kept);
+      kept = new LRUCache({ max: CAPACITY });
+      this.#cached.set(engineId, kept);
     }
     kept.set(key, true);
   }
 
   has(engineId: string, key: string): boolean {
-    return this.#kept.get(engineId)?.has(key) ?? false;
+    return this.#cached.get(engineId)?.has(key) ?? false;
   }
 }
--- a/packages/slots/src/adapter-demand.ts
+++ b/packages/slots/src/adapter-popularity.ts
@@ -1,8 +1,8 @@
 import type { Clock } from '@canvasridge/clock';
 
 const HALF_LIFE_MS = 8000;
-const FORGOTTEN_RATE = 0.01;
-const CLEANING_SIZE = 4096;
+const PRUNE_BELOW_RATE = 0.01;
+const PRUNE_ABOVE_SIZE = 4096;
 
 interface Entry {
   rate: number;
@@ -10,20 +10,20 @@
 }
 
 /** How often each adapter is asked for: requests, of which each counts half as much after some seconds. */
-export class AdapterDemand {
+export class AdapterPopularity {
   readonly #clock: Clock;
-  readonly #entries = new Map<string, Entry>();
+  readonly #rates = new Map<string, Entry>();
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
-  count(key: string): void {
+  recordRequest(key: string): void {
     const nowMs = this.#clock.now();
-    const entry = this.#entries.get(key);
+    const entry = this.#rates.get(key);
     if (entry === undefined) {
-      this.#entries.set(key, { rate: 1, atMs: nowMs });
-      if (this.#entries.size > CLEANING_SIZE) this.#clean();
+      this.#rates.set(key, { rate: 1, atMs: nowMs });
+      if (this.#rates.size > PRUNE_ABOVE_SIZE) this.#prune();
       return;
     }
     entry.rate = decayed(entry, nowMs) + 1;
@@ -31,14 +31,14 @@
   }
 
   rate(key: string): number {
-    const entry = this.#entries.get(key);
+    const entry = this.#rates.get(key);
     return entry === undefined ? 0 : decayed(entry, this.#clock.now());
   }
 
-  #clean(): void {
+  #prune(): void {
     const nowMs = this.#clock.now();
-    for (const [key, entry] of this.#entries) {
-      if (decayed(entry, nowMs) < FORGOTTEN_RATE) this.#entries.delete(key);
+    for (const [key, entry] of this.#rates) {
+      if (decayed(entry, nowMs) < PRUNE_BELOW_RATE) this.#rates.delete(key);
     }
   }
 }
--- a/packages/slots/src/engine-registry.ts
+++ b/packages/slots/src/engine-registry.ts
@@ -5,11 +5,11 @@
 import { EngineRate } from './engine-rate.js';
 import { EngineSlots } from './engine-slots.js';
 import { OrderLease, type OrderLeaseOptions } from './order-lease.js';
-import { speedOfFellows, type ReadingSpeed } from './reading-speed.js';
+import { newPoolSpeed, type PrefillSpeed } from './prefill-speed.js';
 import type { SlotRequest } from './slot-request.js';
 
 /** How long an engine that left the list is remembered. */
-const KEPT_UNLISTED_MS = 8000;
+const UNLISTED_RETENTION_MS = 8000;
 
 export interface EngineRegistryOptions {
   readonly clock: Clock;
@@ -28,11 +28,11 @@
   readonly #options: EngineRegistryOptions;
   readonly #engines = new Map<string, EngineEntry>();
   /** How fast the engines read prompts, all of them together. */
-  readonly speed: ReadingSpeed;
+  readonly poolSpeed: PrefillSpeed;
 
   constructor(options: EngineRegistryOptions) {
     this.#options = options;
-    this.speed = speedOfFellows(options.learnsSpeed);
+    this.poolSpeed = newPoolSpeed(options.learnsSpeed);
   }
 
   /** All engines, those included that left the list a short while ago. */
@@ -85,8 +85,8 @@
   }
 
   /** How long until loads can be ordered on any engine; 0 while no engine is listed. */
-  untilFirstOrderMs(): number {
-    const untilMs = Math.min(...this.listed().map(({ lease }) => lease.heldInMs));
+  untilOrdersPossibleMs(): number {
+    const untilMs = Math.min(...this.listed().map(({ lease }) => lease.untilHeldMs));
     return Number.isFinite(untilMs) ? untilMs : 0;
   }
 
@@ -118,7 +118,7 @@
   #unlist(id: string, entry: EngineEntry): void {
     const sinceMs = this.#options.clock.now();
     entry.unlistedSinceMs = sinceMs;
-    this.#options.after(KEPT_UNLISTED_MS, () => {
+    this.#options.after(UNLISTED_RETENTION_MS, () => {
       if (entry.unlistedSinceMs !== sinceMs) return;
       entry.lease.close();
       this.#engines.delete(id);
@@ -127,7 +127,7 @@
 
   #add(backend: BackendDescription, profile: EngineProfile): void {
     const { clock, lease: shared, onAdopted } = this.#options;
-    const slots = new EngineSlots(backend, profile, this.speed);
+    const slots = new EngineSlots(backend, profile, this.poolSpeed);
     const onReport = (report: EngineReport): void => {
       slots.adopt(report, clock.now());
       onAdopted(slots);
--- a/packages/slots/src/engine-choice.ts
+++ b/packages/slots/src/engine-selector.ts
@@ -6,7 +6,7 @@
 import type { SlotRequest } from './slot-request.js';
 
 /** Part of an engine's batch beyond which it takes more only when no other engine gets the adapter: its memory fills up. */
-const CROWDED_SHARE = 0.45;
+const CROWDED_BATCH_SHARE = 0.45;
 /** What a request that runs on an engine counts beside the prompts ahead, in ms: it takes a part of each step. */
 export const RUNNING_COST_MS = 8;
 /** The same for an engine that failed a moment ago. */
@@ -18,7 +18,7 @@
 export type PublishedVersion = (model: string, adapter: string) => number;
 
 /** Chooses among the engines that can run a request now. */
-export class EngineChoice {
+export class EngineSelector {
   readonly #engines: EngineRegistry;
   readonly #publishedVersion: PublishedVersion;
 
@@ -31,7 +31,7 @@
   best(request: SlotRequest, index: PoolIndex, nowMs: number): EngineEntry | undefined {
     let best: EngineEntry | undefined;
     for (const entry of this.#candidates(request, index)) {
-      if (!this.#engines.mayServe(entry, request) || !this.#suits(entry, request, nowMs)) continue;
+      if (!this.#engines.mayServe(entry, request) || !this.#hasTarget(entry, request, nowMs)) continue;
       if (!entry.rate.hasRoom) continue;
       if (best === undefined || costMs(entry, index, nowMs) < costMs(best, index, nowMs)) best = entry;
     }
@@ -58,7 +58,7 @@
   }
 
   /** Whether an engine has an adapter that is still good, so that another load there adds nothing. */
-  holds(entry: EngineEntry, key: string): boolean {
+  hasCurrentAdapter(entry: EngineEntry, key: string): boolean {
     const slot = entry.slots.get(key);
     return slot?.state === 'loaded' && this.#isCurrent(slot);
   }
@@ -68,7 +68,7 @@
     return index.holders(adapterKey(request.model, request.adapter));
   }
 
-  #suits(entry: EngineEntry, request: SlotRequest, nowMs: number): boolean {
+  #hasTarget(entry: EngineEntry, request: SlotRequest, nowMs: number): boolean {
     const { slots } = entry;
     if (request.adapter === undefined) return slots.models.has(request.model);
     const slot = slots.get(adapterKey(request.model, request.adapter));
@@ -89,19 +89,19 @@
 }
 
 /** How long an engine is busy with the prompts before a new one; a full engine counts as busy for ever. */
-export function backlogMs(entry: EngineEntry, nowMs: number): number {
+export function startDelayMs(entry: EngineEntry, nowMs: number): number {
   const { slots } = entry;
   if (slots.running >= slots.backend.slots) return Infinity;
-  return slots.backlog.aheadMs(nowMs);
+  return slots.backlog.remainingMs(nowMs);
 }
 
 /** Whether an engine runs so many requests that others should be preferred. */
 export function isCrowded({ slots }: EngineEntry): boolean {
-  return slots.running >= slots.backend.slots * CROWDED_SHARE;
+  return slots.running >= slots.backend.slots * CROWDED_BATCH_SHARE;
 }
 
 function costMs(entry: EngineEntry, index: PoolIndex, nowMs: number): number {
   const { slots } = entry;
   const avoidedMs = index.isAvoided(entry) ? AVOIDED_COST_MS : 0;
-  return slots.backlog.aheadMs(nowMs) + RUNNING_COST_MS * slots.running + avoidedMs;
+  return slots.backlog.remainingMs(nowMs) + RUNNING_COST_MS * slots.running + avoidedMs;
 }
--- a/packages/slots/src/engine-slots.ts
+++ b/packages/slots/src/engine-slots.ts
@@ -1,7 +1,7 @@
 import { adapterKey, type BackendDescription, type EngineProfile } from '@canvasridge/serving';
 import type { EngineReport } from './engine-control.js';
 import { PromptBacklog } from './prompt-backlog.js';
-import type { ReadingSpeed } from './reading-speed.js';
+import type { PrefillSpeed } from './prefill-speed.js';
 
 /** `unloading` includes adapters whose fate is not known; they take a slot until a report shows otherwise. */
 export type SlotState = 'loading' | 'loaded' | 'unloading';
@@ -29,7 +29,7 @@
 }
 
 /** A load that was ordered so long ago has ended, whether a request ran on it or not. */
-const CERTAIN_AFTER_MS = 1200;
+const LOAD_SURELY_DONE_MS = 1200;
 
 /** What one node believes of the models, adapters and requests on one engine. */
 export class EngineSlots {
@@ -51,9 +51,9 @@
 
   readonly backlog: PromptBacklog;
 
-  /** @param fellows how fast the engines of the pool read prompts */
-  constructor(backend: BackendDescription, profile: EngineProfile, fellows?: ReadingSpeed) {
-    this.backlog = new PromptBacklog(fellows);
+  /** @param poolSpeed how fast the engines of the pool read prompts */
+  constructor(backend: BackendDescription, profile: EngineProfile, poolSpeed?: PrefillSpeed) {
+    this.backlog = new PromptBacklog(poolSpeed);
     this.backend = backend;
     this.profile = profile;
     for (const model of backend.models) this.models.add(model.name);
@@ -124,7 +124,7 @@
   /** Whether an adapter may give way now. */
   isEvictable(slot: AdapterSlot, nowMs: number): boolean {
     if (slot.users > 0 || slot.state !== 'loaded' || nowMs < this.evictAfterMs) return false;
-    return slot.confirmed || nowMs - slot.orderedMs > CERTAIN_AFTER_MS;
+    return slot.confirmed || nowMs - slot.orderedMs > LOAD_SURELY_DONE_MS;
   }
 
   /** Whether one more adapter fits beside those that are here or on their way. */
--- a/packages/slots/src/engine-uses.ts
+++ b/packages/slots/src/engine-uses.ts
@@ -59,6 +59,6 @@
   #endSlotUse(slot: AdapterSlot): void {
     slot.users -= 1;
     slot.lastUsedMs = this.#clock.now();
-    if (slot.users === 0) this.#turnover.freed();
+    if (slot.users === 0) this.#turnover.recordIdleSlot();
   }
 }
--- a/packages/slots/src/fetch-window.ts
+++ b/packages/slots/src/fetch-window.ts
@@ -4,22 +4,22 @@
  * Fetches at once before anything is known, one for each engine but no fewer than this: a store that serves fewer at full
  * speed shows it within one fetch, and one that serves more is used in full some rounds sooner.
  */
-const INITIAL = 12;
+const INITIAL_SIZE = 12;
 /** Every weight store that the users describe serves so many at full speed. */
-const LEAST = 8;
+const MIN_SIZE = 8;
 /** A fetch that takes so many times the usual time is lengthened; less is the chance of a tight guess. */
-const LENGTHENED = 1.3;
+const DELAYED_FACTOR = 1.3;
 /** The usual time is taken to be longer by this part each ms: one that was quick by chance is forgotten in minutes. */
-const USUAL_DRIFT = 2e-6;
+const BASELINE_DRIFT_PER_MS = 2e-6;
 /** The window counts as used from this part of it on. */
 const IN_USE_SHARE = 0.5;
 /** Growth with each fetch in time once it shrank: a tenth of the window while a whole window of them comes in time. */
-const GROWTH_SHARE = 0.1;
+const SLOW_GROWTH = 0.1;
 /** What is looked at together: fetches of so many usual times. */
 const ROUND_FACTOR = 2;
 /** So many fetches, and this part of those under way, have to be lengthened before anything is concluded. */
-const FEWEST_LENGTHENED = 3;
-const LENGTHENED_SHARE = 0.25;
+const MIN_DELAYED = 3;
+const DELAYED_SHARE = 0.25;
 
 /**
  * How many adapters may be on their way from the weight store at the same time. The store serves some number of fetches
@@ -34,28 +34,28 @@
  */
 export class FetchWindow {
   readonly #clock: Clock;
-  #size = INITIAL;
-  #usualMs: number;
-  #usualAtMs: number;
+  #size = INITIAL_SIZE;
+  #baselineMs: number;
+  #baselineAtMs: number;
   /** From this size on it grows slowly; the size after it last shrank. */
-  #threshold = Infinity;
+  #slowGrowthFrom = Infinity;
   #shrunkMs = -Infinity;
-  #inTimeMs = -Infinity;
+  #lastInTimeMs = -Infinity;
   /** Whether any fetch has told of the store. */
-  #isTold = false;
+  #hasArrival = false;
   /** Fetches of late that were found to be lengthened: when that was seen last, and how long they took at the least. */
-  readonly #lengthened = new Map<string, { readonly atMs: number; readonly leastMs: number }>();
+  readonly #delayed = new Map<string, { readonly atMs: number; readonly leastMs: number }>();
 
   /** @param usualMs first guess of how long a fetch takes while the store is not overloaded */
   constructor(clock: Clock, usualMs: number) {
     this.#clock = clock;
-    this.#usualMs = usualMs;
-    this.#usualAtMs = clock.now();
+    this.#baselineMs = usualMs;
+    this.#baselineAtMs = clock.now();
   }
 
   /** So many engines are there; of interest only until the first fetch has told of the store itself. */
-  expect(engines: number): void {
-    if (!this.#isTold) this.#size = Math.max(INITIAL, engines);
+  setEngineCount(engines: number): void {
+    if (!this.#hasArrival) this.#size = Math.max(INITIAL_SIZE, engines);
   }
 
   /** Fetches that may be under way. */
@@ -68,41 +68,44 @@
    * @param tookMs time after which it was there at the latest
    * @param underWay fetches under way: a window that is not used does not grow
    */
-  present(tookMs: number, underWay: number): void {
-    this.#isTold = true;
+  recordArrival(tookMs: number, underWay: number): void {
+    this.#hasArrival = true;
     const nowMs = this.#clock.now();
-    this.#usualMs = Math.min(this.#usualMs * (1 + USUAL_DRIFT * (nowMs - this.#usualAtMs)), tookMs);
-    this.#usualAtMs = nowMs;
-    if (tookMs > this.#usualMs * LENGTHENED) return;
-    this.#inTimeMs = nowMs;
+    this.#baselineMs = Math.min(
+      this.#baselineMs * (1 + BASELINE_DRIFT_PER_MS * (nowMs - this.#baselineAtMs)),
+      tookMs,
+    );
+    this.#baselineAtMs = nowMs;
+    if (tookMs > this.#baselineMs * DELAYED_FACTOR) return;
+    this.#lastInTimeMs = nowMs;
     if (underWay + 1 < this.#size * IN_USE_SHARE) return;
-    this.#size += this.#size < this.#threshold ? 1 : GROWTH_SHARE;
+    this.#size += this.#size < this.#slowGrowthFrom ? 1 : SLOW_GROWTH;
   }
 
   /**
    * An adapter was still missing so long after its fetch was ordered.
    * @param fetch names the fetch: one that is missing again and again counts once
    */
-  missing(fetch: string, ageMs: number, underWay: number): void {
-    if (ageMs < this.#usualMs * LENGTHENED || underWay < LEAST) return;
+  recordMissing(fetch: string, ageMs: number, underWay: number): void {
+    if (ageMs < this.#baselineMs * DELAYED_FACTOR || underWay < MIN_SIZE) return;
     const nowMs = this.#clock.now();
-    const roundMs = this.#usualMs * ROUND_FACTOR;
-    for (const [other, { atMs }] of this.#lengthened) {
-      if (nowMs - atMs >= roundMs) this.#lengthened.delete(other);
+    const roundMs = this.#baselineMs * ROUND_FACTOR;
+    for (const [other, { atMs }] of this.#delayed) {
+      if (nowMs - atMs >= roundMs) this.#delayed.delete(other);
     }
-    this.#lengthened.set(fetch, { atMs: nowMs, leastMs: ageMs });
-    const needed = Math.max(FEWEST_LENGTHENED, underWay * LENGTHENED_SHARE);
-    const keepsUp = nowMs - this.#inTimeMs < roundMs;
-    if (this.#lengthened.size < needed || keepsUp || nowMs - this.#shrunkMs < roundMs) return;
+    this.#delayed.set(fetch, { atMs: nowMs, leastMs: ageMs });
+    const needed = Math.max(MIN_DELAYED, underWay * DELAYED_SHARE);
+    const keepsUp = nowMs - this.#lastInTimeMs < roundMs;
+    if (this.#delayed.size < needed || keepsUp || nowMs - this.#shrunkMs < roundMs) return;
     this.#shrink(underWay, nowMs);
   }
 
   #shrink(underWay: number, nowMs: number): void {
-    const leastMs = Math.min(...[...this.#lengthened.values()].map((fetch) => fetch.leastMs));
-    const fits = Math.min(this.#size, underWay) * (this.#usualMs / leastMs);
+    const leastMs = Math.min(...[...this.#delayed.values()].map((fetch) => fetch.leastMs));
+    const capacity = Math.min(this.#size, underWay) * (this.#baselineMs / leastMs);
     this.#shrunkMs = nowMs;
-    this.#lengthened.clear();
-    this.#size = Math.max(fits, LEAST);
-    this.#threshold = this.#size;
+    this.#delayed.clear();
+    this.#size = Math.max(capacity, MIN_SIZE);
+    this.#slowGrowthFrom = this.#size;
   }
 }
--- a/packages/slots/src/load-placement.ts
+++ b/packages/slots/src/load-placement.ts
@@ -1,11 +1,11 @@
-import type { AdapterDemand } from './adapter-demand.js';
+import type { AdapterPopularity } from './adapter-popularity.js';
 import type { AdapterMemory } from './adapter-memory.js';
-import { RUNNING_COST_MS } from './engine-choice.js';
+import { RUNNING_COST_MS } from './engine-selector.js';
 import type { SwitchedOff } from './mechanisms.js';
 import type { AdapterSlot, EngineSlots } from './engine-slots.js';
 
 /** An engine that may load an adapter now, and the adapter that has to make way for it, if any. */
-export interface LoadChoice {
+export interface LoadPlacement {
   readonly slots: EngineSlots;
   readonly victim: AdapterSlot | undefined;
   /** Whether the engine likely has the adapter in its memory. */
@@ -13,28 +13,28 @@
 }
 
 /** The request for which an adapter is to be loaded, and what is expected of loads now. */
-export interface LoadDemand {
+export interface LoadRequest {
   readonly model: string;
   readonly key: string;
   readonly nowMs: number;
   readonly ageMs: number;
   /** Age at which the request has to be sent to an engine that is free, to meet its objective. */
-  readonly startWithinMs: number;
+  readonly latestStartAgeMs: number;
   /** Time after which the request could start on an engine that has the adapter; Infinity if none has it. */
-  readonly quickerThanMs: number;
+  readonly maxStartDelayMs: number;
   /** Whether an engine likely has the adapter in memory. */
-  readonly hasHome: boolean;
+  readonly hasWarmEngine: boolean;
   /** Whether the weight store has room for one more fetch. */
   readonly mayFetch: boolean;
   /** Whether so many slots are idle that a fetch for a late request takes none from others. */
   readonly hasSpare: boolean;
   readonly coldLoadMs: number;
   readonly warmLoadMs: number;
-  readonly off: SwitchedOff;
+  readonly disabled: SwitchedOff;
 }
 
 /** Part of the time within which it has to start for which a request waits for an engine that has its adapter in memory. */
-const HOME_PATIENCE_SHARE = 0.5;
+const WARM_WAIT_SHARE = 0.5;
 /** What is added to the cost of a place for each load under way there, in ms. */
 const LOADING_COST_MS = 40;
 const EVICTION_COST_MS = 25;
@@ -46,21 +46,21 @@
  * store is dear, so it is made only if no engine has the adapter, or if none of those gets a free slot in
  * time, and only if it still helps the request to meet its objective.
  */
-export function chooseLoad(
-  able: readonly EngineSlots[],
-  demand: LoadDemand,
-  popularity: AdapterDemand,
+export function placeLoad(
+  candidates: readonly EngineSlots[],
+  request: LoadRequest,
+  popularity: AdapterPopularity,
   memory: AdapterMemory,
-): LoadChoice | undefined {
-  let best: LoadChoice | undefined;
-  let bestCost = demand.quickerThanMs;
-  const mayFetch = isFetchWorthwhile(demand);
-  for (const slots of able) {
-    const warm = !demand.off.has('adapter-memory') && memory.has(slots.backend.id, demand.key);
+): LoadPlacement | undefined {
+  let best: LoadPlacement | undefined;
+  let bestCost = request.maxStartDelayMs;
+  const mayFetch = isFetchWorthwhile(request);
+  for (const slots of candidates) {
+    const warm = !request.disabled.has('adapter-memory') && memory.has(slots.backend.id, request.key);
     if (!warm && !mayFetch) continue;
-    const room = makeRoom(slots, demand, popularity);
+    const room = findRoom(slots, request, popularity);
     if (room === undefined) continue;
-    const cost = costOf(slots, room.victim, warm, demand, popularity);
+    const cost = costOf(slots, room.victim, warm, request, popularity);
     if (cost >= bestCost) continue;
     best = { slots, victim: room.victim, warm };
     bestCost = cost;
@@ -68,27 +68,31 @@
   return best;
 }
 
-function isFetchWorthwhile(demand: LoadDemand): boolean {
-  if (!demand.mayFetch) return false;
-  const isLate = demand.ageMs + demand.coldLoadMs > demand.startWithinMs;
-  if (isLate) return demand.hasSpare;
-  return !demand.hasHome || demand.ageMs >= demand.startWithinMs * HOME_PATIENCE_SHARE;
+function isFetchWorthwhile(request: LoadRequest): boolean {
+  if (!request.mayFetch) return false;
+  const isLate = request.ageMs + request.coldLoadMs > request.latestStartAgeMs;
+  if (isLate) return request.hasSpare;
+  return !request.hasWarmEngine || request.ageMs >= request.latestStartAgeMs * WARM_WAIT_SHARE;
 }
 
 /** A free slot, or the idle adapter that gives way. Undefined if there is neither. */
-function makeRoom(
+function findRoom(
   slots: EngineSlots,
-  demand: LoadDemand,
-  popularity: AdapterDemand,
+  request: LoadRequest,
+  popularity: AdapterPopularity,
 ): { victim: AdapterSlot | undefined } | undefined {
-  const present = slots.get(demand.key);
-  if (present === undefined && slots.hasRoomFor(demand.model)) return { victim: undefined };
-  const victim = present ?? leastWanted(slots, popularity, demand.nowMs);
-  if (victim === undefined || !slots.isEvictable(victim, demand.nowMs)) return undefined;
+  const present = slots.get(request.key);
+  if (present === undefined && slots.hasRoomFor(request.model)) return { victim: undefined };
+  const victim = present ?? leastDemanded(slots, popularity, request.nowMs);
+  if (victim === undefined || !slots.isEvictable(victim, request.nowMs)) return undefined;
   return { victim };
 }
 
-function leastWanted(slots: EngineSlots, popularity: AdapterDemand, nowMs: number): AdapterSlot | undefined {
+function leastDemanded(
+  slots: EngineSlots,
+  popularity: AdapterPopularity,
+  nowMs: number,
+): AdapterSlot | undefined {
   let best: AdapterSlot | undefined;
   let bestRate = Infinity;
   for (const slot of slots.slots.values()) {
@@ -106,17 +110,17 @@
   slots: EngineSlots,
   victim: AdapterSlot | undefined,
   warm: boolean,
-  demand: LoadDemand,
-  popularity: AdapterDemand,
+  request: LoadRequest,
+  popularity: AdapterPopularity,
 ): number {
-  const loadMs = warm ? demand.warmLoadMs : demand.coldLoadMs;
+  const loadMs = warm ? request.warmLoadMs : request.coldLoadMs;
   const evictionMs = victim === undefined ? 0 : Math.min(popularity.rate(victim.key), 4) * EVICTION_COST_MS;
   const busyMs = RUNNING_COST_MS * slots.running + LOADING_COST_MS * slots.loadingCount;
   // The engine reads the prompts ahead while it loads.
-  const recentMs = demand.off.has('recent-work')
+  const recentMs = request.disabled.has('recent-work')
     ? 0
-    : RECENT_WORK_COST * slots.backlog.recentMs(demand.nowMs);
-  const aheadMs = slots.backlog.aheadMs(demand.nowMs);
-  const startMs = demand.off.has('overlapped-load') ? loadMs + aheadMs : Math.max(loadMs, aheadMs);
+    : RECENT_WORK_COST * slots.backlog.recentWorkMs(request.nowMs);
+  const aheadMs = slots.backlog.remainingMs(request.nowMs);
+  const startMs = request.disabled.has('overlapped-load') ? loadMs + aheadMs : Math.max(loadMs, aheadMs);
   return startMs + evictionMs + busyMs + recentMs;
 }
--- a/packages/slots/src/load-starter.ts
+++ b/packages/slots/src/load-starter.ts
@@ -1,12 +1,12 @@
 import type { Clock } from '@canvasridge/clock';
 import { adapterKey } from '@canvasridge/serving';
-import type { AdapterDemand } from './adapter-demand.js';
+import type { AdapterPopularity } from './adapter-popularity.js';
 import type { AdapterLoader } from './adapter-loader.js';
 import type { AdapterMemory } from './adapter-memory.js';
-import type { EngineChoice } from './engine-choice.js';
+import type { EngineSelector } from './engine-selector.js';
 import type { EngineEntry } from './engine-entry.js';
 import type { EngineRegistry } from './engine-registry.js';
-import { chooseLoad, type LoadDemand } from './load-placement.js';
+import { placeLoad, type LoadRequest } from './load-placement.js';
 import type { SwitchedOff } from './mechanisms.js';
 import { canLoadMore, type PoolIndex } from './pool-index.js';
 import type { SlotRequest } from './slot-request.js';
@@ -18,14 +18,14 @@
 export interface LoadStarterOptions {
   readonly clock: Clock;
   readonly engines: EngineRegistry;
-  readonly choice: EngineChoice;
+  readonly selector: EngineSelector;
   readonly adapters: AdapterLoader;
   readonly memory: AdapterMemory;
-  readonly demand: AdapterDemand;
+  readonly adapterPopularity: AdapterPopularity;
   readonly waiting: WaitingList;
   /** Whether an engine turned this node away and wants nothing from it, orders included, for a while. */
   readonly isBackingOff: (backendId: string) => boolean;
-  readonly off: SwitchedOff;
+  readonly disabled: SwitchedOff;
 }
 
 /** Orders loads of adapters for requests that wait, where an engine can take one and it is worth it. */
@@ -41,29 +41,30 @@
    * @param aheadMs the shortest backlog of an engine that has the adapter: a copy must be quicker
    */
   start(waiting: WaitingRequest, index: PoolIndex, aheadMs: number): WaitObstacle {
-    const { engines, adapters, memory, demand: popularity } = this.#options;
+    const { engines, adapters, memory, adapterPopularity: popularity } = this.#options;
     const { model, adapter } = waiting.request;
-    if (adapter === undefined || index.able.length === 0) return 'no-room';
-    const able = preferUnlimited(
-      index.able.filter((entry) => this.#isCandidate(entry, waiting.request) && canLoadMore(entry)),
+    if (adapter === undefined || index.loadTargets.length === 0) return 'no-room';
+    const candidates = preferUnlimited(
+      index.loadTargets.filter((entry) => this.#isCandidate(entry, waiting.request) && canLoadMore(entry)),
     );
-    if (able.length === 0) return 'no-room';
-    const demand = this.#demandOf(waiting, adapterKey(model, adapter), index, aheadMs);
-    const choice = chooseLoad(
-      able.map((entry) => entry.slots),
-      demand,
+    if (candidates.length === 0) return 'no-room';
+    const loadRequest = this.#describeLoad(waiting, adapterKey(model, adapter), index, aheadMs);
+    const placement = placeLoad(
+      candidates.map((entry) => entry.slots),
+      loadRequest,
       popularity,
       memory,
     );
-    const entry = choice === undefined ? undefined : engines.get(choice.slots.backend.id);
-    if (choice === undefined || entry === undefined) return demand.mayFetch ? 'too-late' : 'fetch-limit';
-    index.loadStarted(demand.key, entry, !choice.warm);
-    void adapters.load(entry, choice, model, adapter);
+    const entry = placement === undefined ? undefined : engines.get(placement.slots.backend.id);
+    if (placement === undefined || entry === undefined)
+      return loadRequest.mayFetch ? 'too-late' : 'fetch-limit';
+    index.loadStarted(loadRequest.key, entry, !placement.warm);
+    void adapters.load(entry, placement, model, adapter);
     return 'loading';
   }
 
-  #demandOf(waiting: WaitingRequest, key: string, index: PoolIndex, aheadMs: number): LoadDemand {
-    const { clock, adapters, waiting: list, off } = this.#options;
+  #describeLoad(waiting: WaitingRequest, key: string, index: PoolIndex, aheadMs: number): LoadRequest {
+    const { clock, adapters, waiting: list, disabled } = this.#options;
     const { request, arrivedMs } = waiting;
     const nowMs = clock.now();
     return {
@@ -71,21 +72,21 @@
       key,
       nowMs,
       ageMs: nowMs - arrivedMs,
-      startWithinMs: list.startWithinMs(request),
-      quickerThanMs: aheadMs,
-      hasHome: this.#hasHome(request, key),
+      latestStartAgeMs: list.latestStartAgeMs(request),
+      maxStartDelayMs: aheadMs,
+      hasWarmEngine: this.#hasWarmEngine(request, key),
       mayFetch: index.fetches < adapters.fetchWindow,
       hasSpare: index.spareShare >= SPARE_SHARE,
       coldLoadMs: adapters.coldLoadMs,
       warmLoadMs: adapters.warmLoadMs,
-      off,
+      disabled,
     };
   }
 
   /** Whether an engine that can be given orders likely has the adapter in its memory. */
-  #hasHome(request: SlotRequest, key: string): boolean {
-    const { engines, memory, off } = this.#options;
-    if (off.has('adapter-memory')) return false;
+  #hasWarmEngine(request: SlotRequest, key: string): boolean {
+    const { engines, memory, disabled } = this.#options;
+    if (disabled.has('adapter-memory')) return false;
     return engines
       .listed()
       .some(
@@ -95,16 +96,16 @@
   }
 
   #isCandidate(entry: EngineEntry, request: SlotRequest): boolean {
-    const { engines, choice } = this.#options;
+    const { engines, selector } = this.#options;
     const { model, adapter } = request;
     if (adapter === undefined || !engines.mayServe(entry, request)) return false;
     if (this.#options.isBackingOff(entry.slots.backend.id)) return false;
-    return entry.slots.models.has(model) && !choice.holds(entry, adapterKey(model, adapter));
+    return entry.slots.models.has(model) && !selector.hasCurrentAdapter(entry, adapterKey(model, adapter));
   }
 }
 
 /** An adapter on an engine that names a limit is of little use there: such engines come last, and none without room for a request. */
-function preferUnlimited(able: readonly EngineEntry[]): readonly EngineEntry[] {
-  const unlimited = able.filter(({ rate }) => rate.rule === undefined);
-  return unlimited.length > 0 ? unlimited : able.filter(({ rate }) => rate.hasRoom);
+function preferUnlimited(eligible: readonly EngineEntry[]): readonly EngineEntry[] {
+  const unlimited = eligible.filter(({ rate }) => rate.rule === undefined);
+  return unlimited.length > 0 ? unlimited : eligible.filter(({ rate }) => rate.hasRoom);
 }
--- a/packages/slots/src/model-loader.ts
+++ b/packages/slots/src/model-loader.ts
@@ -19,7 +19,7 @@
   readonly #options: ModelLoaderOptions;
   readonly #budget: StoreLoadBudget;
   /** Busy engines whose reports are read again. */
-  readonly #awaited = new WeakSet<EngineSlots>();
+  readonly #polled = new WeakSet<EngineSlots>();
 
   constructor(options: ModelLoaderOptions) {
     this.#options = options;
@@ -37,7 +37,9 @@
       const model = this.#scarcestModel(slots.profile);
       if (model === undefined || !this.#budget.take()) continue;
       slots.busy = true;
-      void lease.order({ action: 'load', model, adapter: undefined }).then(() => this.awaitEnd(slots, lease));
+      void lease
+        .order({ action: 'load', model, adapter: undefined })
+        .then(() => this.pollUntilIdle(slots, lease));
     }
   }
 
@@ -45,20 +47,20 @@
    * Reads reports of a busy engine until it is not busy any more. Whoever keeps an engine from loads since a
    * report showed it busy has to see to it that another report is read: nothing else tells of the end.
    */
-  awaitEnd(slots: EngineSlots, lease: OrderLease): void {
-    if (this.#awaited.has(slots)) return;
-    this.#awaited.add(slots);
-    this.#pollModel(slots, lease);
+  pollUntilIdle(slots: EngineSlots, lease: OrderLease): void {
+    if (this.#polled.has(slots)) return;
+    this.#polled.add(slots);
+    this.#poll(slots, lease);
   }
 
-  #pollModel(slots: EngineSlots, lease: OrderLease): void {
+  #poll(slots: EngineSlots, lease: OrderLease): void {
     this.#options.after(this.#options.pollMs, () => {
       if (slots.busy && slots.models.size === 0) {
         lease.settle();
-        this.#pollModel(slots, lease);
+        this.#poll(slots, lease);
         return;
       }
-      this.#awaited.delete(slots);
+      this.#polled.delete(slots);
       this.#options.onChange();
     });
   }
--- a/packages/slots/src/order-fence.ts
+++ b/packages/slots/src/order-fence.ts
@@ -1,12 +1,12 @@
 /** Room for the part of a fence below the count: the term, then the holder's number. Counts up to 2^21 stay exact. */
-const COUNT_STEP = 2 ** 32;
+const COUNT_MULTIPLIER = 2 ** 32;
 /** Room for the holder's number, which matters only between two leaders of the same second. */
-const TERM_STEP = 2 ** 14;
+const TERM_MULTIPLIER = 2 ** 14;
 /**
  * Terms are times of claims in seconds, so they begin anew after three days: a fence can fall only where a holder whose orders
  * were never counted leads on one side of that moment and the next one on the other.
  */
-const TERMS = COUNT_STEP / TERM_STEP;
+const TERM_MODULUS = COUNT_MULTIPLIER / TERM_MULTIPLIER;
 /**
  * How many counts above the engine's a new holder's first fence stands. An order that changes nothing raises the fence
  * that the engine saw but not its count, so the fence of the holder before can lie anywhere within the count's own range.
@@ -36,13 +36,14 @@
 
   /** The fence for an order that expects a count; it never falls. */
   raiseTo(count: number): number {
-    const ownPart = (this.#term() % TERMS) * TERM_STEP + (this.#holderNumber % TERM_STEP);
-    this.#highest = Math.max(this.#highest, count * COUNT_STEP + ownPart);
+    const holderPart =
+      (this.#term() % TERM_MODULUS) * TERM_MULTIPLIER + (this.#holderNumber % TERM_MULTIPLIER);
+    this.#highest = Math.max(this.#highest, count * COUNT_MULTIPLIER + holderPart);
     return this.#highest;
   }
 
   /** The engine saw a higher fence than the last one. */
   raise(): void {
-    this.#highest += COUNT_STEP;
+    this.#highest += COUNT_MULTIPLIER;
   }
 }
--- a/packages/slots/src/order-lease.ts
+++ b/packages/slots/src/order-lease.ts
@@ -12,12 +12,12 @@
 import type { SlotTiming } from './timing.js';
 
 /** Orders with higher and higher fences before a holder that is refused takes another one to be active. */
-const MOST_FENCED_ORDERS = 2;
+const MAX_FENCED_ORDERS = 2;
 /**
  * A report that shows the expected count vouches for an order that is begun this soon after the report was asked for, in
  * milliseconds: about the time by which reports are late themselves, so a longer one would double what they can't show.
  */
-const REPORT_VOUCHES_MS = 200;
+const REPORT_VALID_MS = 200;
 
 export interface OrderHolder {
   readonly name: string;
@@ -94,9 +94,9 @@
   /** Another holder is active, so the engine is not taken at once again but after a whole lease. */
   #isContested = false;
   #state: LeaseState = { kind: 'observing', count: undefined, sinceMs: 0 };
-  #turn: Promise<void> = Promise.resolve();
+  #lastOrder: Promise<void> = Promise.resolve();
   /** Until when no other node can have become holder, as far as orders and reports have shown, on the fleet clock. */
-  #provenUntilMs = -Infinity;
+  #exclusiveUntilMs = -Infinity;
   readonly #fence: OrderFence;
 
   constructor(options: OrderLeaseOptions) {
@@ -110,7 +110,7 @@
   }
 
   /** How long until this node becomes holder, in milliseconds, if nothing comes between. Infinity if closed. */
-  get heldInMs(): number {
+  get untilHeldMs(): number {
     const state = this.#state;
     const { timing, clock } = this.#options;
     switch (state.kind) {
@@ -155,9 +155,9 @@
 
   /** Gives one order; orders to one engine follow one another. */
   async order(subject: OrderSubject): Promise<OrderReply | NotHeld> {
-    const previous = this.#turn;
+    const previous = this.#lastOrder;
     let finish = (): void => undefined;
-    this.#turn = new Promise((resolve) => {
+    this.#lastOrder = new Promise((resolve) => {
       finish = resolve;
     });
     await previous;
@@ -170,8 +170,8 @@
 
   async #send(subject: OrderSubject): Promise<OrderReply | NotHeld> {
     const { backend, control, holder, mayOrder, clock, fleetClock, telemetry } = this.#options;
-    if (this.#state.kind === 'held' && fleetClock.now() >= this.#provenUntilMs)
-      await this.#confirm(this.#state);
+    if (this.#state.kind === 'held' && fleetClock.now() >= this.#exclusiveUntilMs)
+      await this.#verifyHeld(this.#state);
     if (!mayOrder() || this.#state.kind !== 'held') return { kind: 'not-held' };
     const expectedCount = this.#state.nextCount;
     const fence = this.#fence.raiseTo(expectedCount);
@@ -186,12 +186,12 @@
       reply: reply.kind,
       tookMs: Math.round(clock.now() - startedMs),
     });
-    this.#learn(subject, reply, expectedCount, startedFleetMs);
+    this.#applyReply(subject, reply, expectedCount, startedFleetMs);
     return reply;
   }
 
   /** Whether the engine still shows what this node expects; if not, it has another holder, or none that is known. */
-  async #confirm(held: LeaseState & { kind: 'held' }): Promise<void> {
+  async #verifyHeld(held: LeaseState & { kind: 'held' }): Promise<void> {
     const { clock, fleetClock, control, backend } = this.#options;
     const askedMs = clock.now();
     const askedFleetMs = fleetClock.now();
@@ -200,13 +200,13 @@
     if (report === undefined) {
       this.settle();
     } else if (report.orderCount === held.nextCount) {
-      this.#provenUntilMs = askedFleetMs + REPORT_VOUCHES_MS;
+      this.#exclusiveUntilMs = askedFleetMs + REPORT_VALID_MS;
     } else {
-      this.#meetForeignOrders(report.orderCount, askedMs, String(held.nextCount));
+      this.#handleForeignOrders(report.orderCount, askedMs, String(held.nextCount));
     }
   }
 
-  #meetForeignOrders(count: number, askedMs: number, expected: string): void {
+  #handleForeignOrders(count: number, askedMs: number, expected: string): void {
     // A count that went on after an own order is another holder's work. Before, it may be the former one's last.
     this.#isContested ||= this.#hasOrdered;
     this.#logLost(`count is ${count}, expected ${expected}`);
@@ -215,24 +215,24 @@
   }
 
   /** An order was counted: for a lease from its arrival nobody else takes the engine, and the next one is on its way in time. */
-  #counted(expectedCount: number, startedFleetMs: number): void {
+  #recordCountedOrder(expectedCount: number, startedFleetMs: number): void {
     this.#hasOrdered = true;
-    this.#provenUntilMs = startedFleetMs + this.#options.timing.leaseMs - ORDER_TIMEOUT_MS;
+    this.#exclusiveUntilMs = startedFleetMs + this.#options.timing.leaseMs - ORDER_TIMEOUT_MS;
     this.#state = { kind: 'held', nextCount: expectedCount + 1 };
   }
 
-  #learn(subject: OrderSubject, reply: OrderReply, expectedCount: number, startedFleetMs: number): void {
+  #applyReply(subject: OrderSubject, reply: OrderReply, expectedCount: number, startedFleetMs: number): void {
     // A reset or close while the answer was on its way stands.
     if (this.#state.kind !== 'held' || this.#state.nextCount !== expectedCount) return;
     const sinceMs = this.#options.clock.now();
     switch (reply.kind) {
       case 'accepted':
         this.#fencedOrders = 0;
-        this.#counted(expectedCount, startedFleetMs);
+        this.#recordCountedOrder(expectedCount, startedFleetMs);
         return;
       case 'done':
         // An unload is counted when it is done; a load that was not needed is not.
-        if (subject.action === 'unload') this.#counted(expectedCount, startedFleetMs);
+        if (subject.action === 'unload') this.#recordCountedOrder(expectedCount, startedFleetMs);
         return;
       case 'conflict':
         this.#enter({ kind: 'settling', possibleCounts: [expectedCount], sinceMs });
@@ -243,7 +243,7 @@
       case 'rejected':
         return;
       case 'fenced':
-        this.#meetHigherFence(sinceMs);
+        this.#handleHigherFence(sinceMs);
         return;
       case 'other-instance':
         this.close();
@@ -256,10 +256,10 @@
    * one that is active. In the first case a few higher fences get through, in the second a whole lease is waited.
    * After an order that was taken it is the second.
    */
-  #meetHigherFence(sinceMs: number): void {
+  #handleHigherFence(sinceMs: number): void {
     this.#fence.raise();
     this.#fencedOrders += 1;
-    if (!this.#hasOrdered && this.#fencedOrders <= MOST_FENCED_ORDERS) {
+    if (!this.#hasOrdered && this.#fencedOrders <= MAX_FENCED_ORDERS) {
       this.#enter({ kind: 'settling', possibleCounts: undefined, sinceMs });
       return;
     }
@@ -281,7 +281,7 @@
           await this.#observe(state);
           break;
         case 'settling':
-          await this.#settled(state);
+          await this.#finishSettling(state);
           break;
       }
     }
@@ -299,11 +299,11 @@
       return;
     }
     if (report.orderCount === 0 && mayOrder() && this.#options.mayTakeUnused()) {
-      this.#take(report, askedFleetMs, 'unused');
+      this.#becomeHolder(report, askedFleetMs, 'unused');
       return;
     }
     if (mayOrder() && !this.#isContested && this.#options.mayTakeAtOnce()) {
-      this.#take(report, askedFleetMs, 'fenced-off');
+      this.#becomeHolder(report, askedFleetMs, 'fenced-off');
       return;
     }
     const unchanged = report.orderCount === state.count;
@@ -313,7 +313,7 @@
     if (unchanged && leftMs <= 0 && mayOrder() && mayTake()) {
       this.#fencedOrders = 0;
       this.#isContested = false;
-      this.#take(report, askedFleetMs, 'observed');
+      this.#becomeHolder(report, askedFleetMs, 'observed');
       return;
     }
     this.#options.onReport(report);
@@ -322,7 +322,7 @@
     await this.#changed.waitUpTo(clock, pauseMs);
   }
 
-  async #settled(state: LeaseState & { kind: 'settling' }): Promise<void> {
+  async #finishSettling(state: LeaseState & { kind: 'settling' }): Promise<void> {
     const { clock, fleetClock, timing, backend, control } = this.#options;
     const leftMs = state.sinceMs + timing.settleMs - clock.now();
     if (leftMs > 0) {
@@ -338,18 +338,18 @@
       return;
     }
     if (state.possibleCounts?.includes(report.orderCount) !== false) {
-      this.#take(report, askedFleetMs, 'settled');
+      this.#becomeHolder(report, askedFleetMs, 'settled');
       return;
     }
-    this.#meetForeignOrders(report.orderCount, askedMs, state.possibleCounts?.join(' or '));
+    this.#handleForeignOrders(report.orderCount, askedMs, state.possibleCounts?.join(' or '));
   }
 
-  #take(report: EngineReport, askedFleetMs: number, how: string): void {
+  #becomeHolder(report: EngineReport, askedFleetMs: number, how: string): void {
     if (how !== 'settled') {
       this.#hasOrdered = false;
       this.#fence.startAt(report.orderCount);
     }
-    this.#provenUntilMs = askedFleetMs + REPORT_VOUCHES_MS;
+    this.#exclusiveUntilMs = askedFleetMs + REPORT_VALID_MS;
     this.#state = { kind: 'held', nextCount: report.orderCount };
     this.#options.telemetry.event('info', 'order-lease.held', this.#options.backend.id, {
       how,
--- a/packages/slots/src/peer-sight.ts
+++ b/packages/slots/src/peer-sight.ts
@@ -1,9 +1,9 @@
 import type { Clock } from '@canvasridge/clock';
 
 /** Members that went out of sight count for this long as perhaps cut off. */
-const RECENT_MS = 8000;
+const LOST_RETENTION_MS = 8000;
 /** A node that sees the first of the others again has heard of their leader after this time: several periods of gossip. */
-const REUNITED_MS = 2000;
+const REUNION_DELAY_MS = 2000;
 
 /**
  * Whether this node is likely on the larger side of a partition, if there is one: it sees more than half of
@@ -20,9 +20,9 @@
   /** Members that went out of sight without a word, and when that was noticed. */
   readonly #lostAtMs = new Map<string, number>();
   /** When this node became a remainder; undefined if it is none. */
-  #remainderSinceMs: number | undefined;
+  #minoritySinceMs: number | undefined;
   /** When the first of the others came back in sight of a node that was a remainder. */
-  #backInSightMs = -Infinity;
+  #reunitedMs = -Infinity;
 
   /** @param aloneAfterMs time after its start from which a node that never met another acts alone */
   constructor(clock: Clock, selfId: string, aloneAfterMs: number) {
@@ -38,27 +38,27 @@
    */
   update(alive: readonly string[], departed: readonly string[]): void {
     const nowMs = this.#clock.now();
-    if (alive !== this.#alive) this.#see(alive, nowMs);
+    if (alive !== this.#alive) this.#updateVisible(alive, nowMs);
     for (const id of departed) if (!this.#visible.has(id)) this.#lostAtMs.delete(id);
     this.#forget(nowMs);
   }
 
   #forget(nowMs: number): void {
-    const isOld = (lostMs: number): boolean => nowMs - lostMs > RECENT_MS;
+    const isOld = (lostMs: number): boolean => nowMs - lostMs > LOST_RETENTION_MS;
     if (![...this.#lostAtMs.values()].some(isOld)) return;
     const sawMost = this.seesMost();
     for (const [id, lostMs] of this.#lostAtMs) if (isOld(lostMs)) this.#lostAtMs.delete(id);
-    if (!sawMost) this.#remainderSinceMs ??= nowMs;
+    if (!sawMost) this.#minoritySinceMs ??= nowMs;
   }
 
-  #see(alive: readonly string[], nowMs: number): void {
+  #updateVisible(alive: readonly string[], nowMs: number): void {
     const before = this.#visible;
     this.#alive = alive;
     this.#visible = new Set(alive);
     for (const id of before) if (!this.#visible.has(id)) this.#lostAtMs.set(id, nowMs);
-    if (this.#remainderSinceMs !== undefined && alive.some((id) => !before.has(id))) {
-      this.#remainderSinceMs = undefined;
-      this.#backInSightMs = nowMs;
+    if (this.#minoritySinceMs !== undefined && alive.some((id) => !before.has(id))) {
+      this.#minoritySinceMs = undefined;
+      this.#reunitedMs = nowMs;
     }
     for (const id of alive) this.#lostAtMs.delete(id);
   }
@@ -78,13 +78,13 @@
    * be cut off, and the others have a leader of their own.
    */
   get isRemainder(): boolean {
-    return this.#remainderSinceMs !== undefined || this.#clock.now() - this.#backInSightMs < REUNITED_MS;
+    return this.#minoritySinceMs !== undefined || this.#clock.now() - this.#reunitedMs < REUNION_DELAY_MS;
   }
 
   /** How long it has been a remainder that sees nobody at all, in milliseconds; undefined if it sees any or is none. */
   get aloneMs(): number | undefined {
-    if (this.#remainderSinceMs === undefined || this.#visible.size > 0) return undefined;
-    return this.#clock.now() - this.#remainderSinceMs;
+    if (this.#minoritySinceMs === undefined || this.#visible.size > 0) return undefined;
+    return this.#clock.now() - this.#minoritySinceMs;
   }
 
   seesAll(): boolean {
--- a/packages/slots/src/pool-figures.ts
+++ b/packages/slots/src/pool-figures.ts
@@ -35,7 +35,7 @@
 
 export function describeEngines(entries: readonly EngineEntry[], nowMs: number): EngineFigures {
   const slots = entries.flatMap((entry) => [...entry.slots.slots.values()]);
-  const backlogs = entries.map((entry) => Math.round(entry.slots.backlog.aheadMs(nowMs)));
+  const backlogs = entries.map((entry) => Math.round(entry.slots.backlog.remainingMs(nowMs)));
   return {
     engines: entries.length,
     held: entries.filter(({ lease }) => lease.held).length,
--- a/packages/slots/src/pool-index.ts
+++ b/packages/slots/src/pool-index.ts
@@ -1,9 +1,9 @@
 import type { EngineEntry } from './engine-entry.js';
 
 /** If more engines than this part of them failed of late, to avoid them only fills the others: none is avoided. */
-const MOST_AVOIDED_SHARE = 0.5;
+const MAX_AVOIDED_SHARE = 0.5;
 /** Adapters that one engine is asked to fetch at the same time. */
-const LOADS_PER_ENGINE = 3;
+const MAX_LOADS_PER_ENGINE = 3;
 
 /**
  * Where adapters are, and which engines can load one, at one moment. Built once for many requests that wait,
@@ -13,11 +13,11 @@
 export class PoolIndex {
   readonly #holders = new Map<string, EngineEntry[]>();
   readonly #loading = new Map<string, EngineEntry[]>();
-  readonly #able: EngineEntry[] = [];
+  readonly #loadTargets: EngineEntry[] = [];
   /** When it was built. */
   readonly builtMs: number;
   /** Whether engines that failed are avoided at all. */
-  readonly #avoids: boolean;
+  readonly #avoidsFailed: boolean;
   #fetches = 0;
   #slots = 0;
   #spare = 0;
@@ -26,13 +26,13 @@
     this.builtMs = nowMs;
     const all = [...entries];
     const avoided = all.filter(({ slots }) => slots.avoidUntilMs > nowMs).length;
-    this.#avoids = avoided <= all.length * MOST_AVOIDED_SHARE;
+    this.#avoidsFailed = avoided <= all.length * MAX_AVOIDED_SHARE;
     for (const entry of all) this.#addEngine(entry, nowMs);
   }
 
   /** Whether an engine failed a moment ago while most others did not. */
   isAvoided({ slots }: EngineEntry): boolean {
-    return this.#avoids && slots.avoidUntilMs > this.builtMs;
+    return this.#avoidsFailed && slots.avoidUntilMs > this.builtMs;
   }
 
   /** Engines that had the adapter loaded. */
@@ -46,8 +46,8 @@
   }
 
   /** Engines that could take one more adapter. */
-  get able(): readonly EngineEntry[] {
-    return this.#able;
+  get loadTargets(): readonly EngineEntry[] {
+    return this.#loadTargets;
   }
 
   /** Fetches from the weight store under way, on all engines. */
@@ -80,7 +80,7 @@
     this.#slots += slots.profile.adapterSlots;
     this.#spare += Math.max(slots.profile.adapterSlots - slots.slots.size, 0);
     const isFree = lease.held && !this.isAvoided(entry);
-    if (canTake && isFree && canLoadMore(entry)) this.#able.push(entry);
+    if (canTake && isFree && canLoadMore(entry)) this.#loadTargets.push(entry);
   }
 }
 
@@ -95,7 +95,7 @@
 
 /** Whether an engine may be asked for one more adapter beside those on their way. */
 export function canLoadMore(entry: EngineEntry): boolean {
-  return entry.slots.loadingCount < LOADS_PER_ENGINE;
+  return entry.slots.loadingCount < MAX_LOADS_PER_ENGINE;
 }
 
 function append(map: Map<string, EngineEntry[]>, key: string, entry: EngineEntry): void {
--- a/packages/slots/src/pool-leadership.ts
+++ b/packages/slots/src/pool-leadership.ts
@@ -21,8 +21,8 @@
 }
 
 /** How long the first candidate sees no claim before it claims, and how much longer each one after it. */
-const CLAIM_AFTER_MS = 150;
-const CLAIM_STEP_MS = 600;
+const CLAIM_DELAY_MS = 150;
+const CLAIM_DELAY_PER_RANK_MS = 600;
 const SECOND_MS = 1000;
 
 /**
@@ -63,11 +63,11 @@
 
   /** Looks at the claims; to be called a few times a second. Returns whether the leader changed. */
   update(): boolean {
-    const ruling = this.#rulingClaim();
-    if (this.#ownEpoch !== undefined && ruling?.memberId !== this.#peers.selfId) this.#withdraw();
-    if (ruling === undefined) this.#claimInTurn();
+    const winner = this.#winningClaim();
+    if (this.#ownEpoch !== undefined && winner?.memberId !== this.#peers.selfId) this.#withdraw();
+    if (winner === undefined) this.#claimAfterDelay();
     else this.#unclaimedSinceMs = undefined;
-    return this.#setLeader(this.#ownEpoch === undefined ? ruling?.memberId : this.#peers.selfId);
+    return this.#setLeader(this.#ownEpoch === undefined ? winner?.memberId : this.#peers.selfId);
   }
 
   /** Gives the pool up, as on a planned stop; the next leader is followed. */
@@ -77,7 +77,7 @@
     this.#setLeader(undefined);
   }
 
-  #rulingClaim(): PoolClaim | undefined {
+  #winningClaim(): PoolClaim | undefined {
     const claims = [...this.#peers.claims(this.#pool)];
     for (const claim of claims) this.#highestEpoch = Math.max(this.#highestEpoch, claim.epoch);
     if (this.#ownEpoch !== undefined) claims.push({ memberId: this.#peers.selfId, epoch: this.#ownEpoch });
@@ -87,7 +87,7 @@
     }, undefined);
   }
 
-  #claimInTurn(): void {
+  #claimAfterDelay(): void {
     const nowMs = this.#clock.now();
     // Nodes may rank candidates differently for a while, so the later ones claim too when nobody does.
     const rank = this.#peers.candidates(this.#pool).indexOf(this.#peers.selfId);
@@ -96,7 +96,7 @@
       return;
     }
     this.#unclaimedSinceMs ??= nowMs;
-    if (nowMs - this.#unclaimedSinceMs < CLAIM_AFTER_MS + rank * CLAIM_STEP_MS) return;
+    if (nowMs - this.#unclaimedSinceMs < CLAIM_DELAY_MS + rank * CLAIM_DELAY_PER_RANK_MS) return;
     // Clocks of machines differ and jump, so an epoch counts on from what was seen. The time takes the place of
     // what nobody remembers after a loss of all: without it the next leader's fences can be lower.
     this.#highestEpoch = Math.max(this.#highestEpoch + 1, Math.floor(this.#clock.wallTime() / SECOND_MS));
--- a/packages/slots/src/reading-speed.ts
+++ b/packages/slots/src/prefill-speed.ts
@@ -9,20 +9,20 @@
 const SLOWEST_MS_PER_TOKEN = 1;
 
 /** Time that reading one token of a prompt takes, learnt from how long prompts of known length took. */
-export class ReadingSpeed {
-  readonly #fellows: ReadingSpeed | undefined;
+export class PrefillSpeed {
+  readonly #poolSpeed: PrefillSpeed | undefined;
   readonly #halfLifeMs: number;
   readonly #learns: boolean;
   #tokens = 0;
   #readingMs = 0;
 
   /**
-   * @param fellows the speed of like engines, which is believed until this one has shown its own
+   * @param poolSpeed the speed of like engines, which is believed until this one has shown its own
    * @param learns false to stay with the first guess
    */
-  constructor(fellows: ReadingSpeed | undefined, halfLifeMs = HALF_LIFE_MS, learns = true) {
-    this.#learns = learns && (fellows?.learns ?? true);
-    this.#fellows = fellows;
+  constructor(poolSpeed: PrefillSpeed | undefined, halfLifeMs = HALF_LIFE_MS, learns = true) {
+    this.#learns = learns && (poolSpeed?.learns ?? true);
+    this.#poolSpeed = poolSpeed;
     this.#halfLifeMs = halfLifeMs;
   }
 
@@ -31,7 +31,7 @@
   }
 
   get msPerToken(): number {
-    const prior = this.#fellows?.msPerToken ?? INITIAL_MS_PER_TOKEN;
+    const prior = this.#poolSpeed?.msPerToken ?? INITIAL_MS_PER_TOKEN;
     const learnt = (this.#readingMs + prior * PRIOR_TOKENS) / (this.#tokens + PRIOR_TOKENS);
     return Math.min(Math.max(learnt, FASTEST_MS_PER_TOKEN), SLOWEST_MS_PER_TOKEN);
   }
@@ -39,17 +39,17 @@
   /** The engine read these tokens in this time. */
   observe(tokens: number, readingMs: number): void {
     if (!this.#learns) return;
-    const kept = 0.5 ** (readingMs / this.#halfLifeMs);
-    this.#tokens = this.#tokens * kept + tokens;
-    this.#readingMs = this.#readingMs * kept + readingMs;
-    this.#fellows?.observe(tokens, readingMs);
+    const keptShare = 0.5 ** (readingMs / this.#halfLifeMs);
+    this.#tokens = this.#tokens * keptShare + tokens;
+    this.#readingMs = this.#readingMs * keptShare + readingMs;
+    this.#poolSpeed?.observe(tokens, readingMs);
   }
 }
 
 /** Reading time, of all engines of a pool together, after which what they showed counts half. */
-const FELLOWS_HALF_LIFE_MS = 20_000;
+const POOL_HALF_LIFE_MS = 20_000;
 
 /** The speed that the engines of one pool show together. */
-export function speedOfFellows(learns = true): ReadingSpeed {
-  return new ReadingSpeed(undefined, FELLOWS_HALF_LIFE_MS, learns);
+export function newPoolSpeed(learns = true): PrefillSpeed {
+  return new PrefillSpeed(undefined, POOL_HALF_LIFE_MS, learns);
 }
--- a/packages/slots/src/slot-pool.ts
+++ b/packages/slots/src/slot-pool.ts
@@ -1,10 +1,10 @@
 import type { QuotaRule } from '@canvasridge/admission';
 import type { Timer } from '@canvasridge/clock';
 import { adapterKey, type BackendDescription, type EngineProfile } from '@canvasridge/serving';
-import { AdapterDemand } from './adapter-demand.js';
+import { AdapterPopularity } from './adapter-popularity.js';
 import { AdapterLoader } from './adapter-loader.js';
 import type { AdapterMemory } from './adapter-memory.js';
-import { EngineChoice, backlogMs, isCrowded } from './engine-choice.js';
+import { EngineSelector, startDelayMs, isCrowded } from './engine-selector.js';
 import type { EngineEntry } from './engine-entry.js';
 import { EngineRegistry } from './engine-registry.js';
 import { EngineUses } from './engine-uses.js';
@@ -36,11 +36,11 @@
 }
 
 /** Nodes tell a new leader within this time what they run on the engines; no adapter gives way before. */
-const USES_KNOWN_AFTER_MS = 400;
+const USES_REPORTED_WITHIN_MS = 400;
 /** Changes within this time are looked at together. */
 const SCHEDULE_DELAY_MS = 4;
 /** A single request is placed with an index up to this old; what waits is looked at again with a new one. */
-const INDEX_AGE_MS = 8;
+const MAX_INDEX_AGE_MS = 8;
 /** Part of its objective for which a request may wait behind prompts at an engine before another one is looked for. */
 const SHORT_BACKLOG_SHARE = 0.15;
 /** The same from which a request waits here, where it can still go to another engine. */
@@ -50,7 +50,7 @@
 /** How long after a request was held back for a long backlog it is looked at again. */
 const BACKLOG_POLL_MS = 40;
 /** A refusal up to this part of the objective counts as early. */
-const EARLY_SHARE = 0.25;
+const EARLY_REFUSAL_SHARE = 0.25;
 /** An engine that failed a request is given less for this long. */
 const AVOID_AFTER_FAILURE_MS = 1500;
 /** A use whose end was never told is over this long after its request's time. */
@@ -63,10 +63,10 @@
 export class SlotPool {
   readonly #options: SlotPoolOptions;
   readonly #engines: EngineRegistry;
-  readonly #choice: EngineChoice;
+  readonly #selector: EngineSelector;
   readonly #waiting: WaitingList;
   readonly #uses: EngineUses;
-  readonly #demand: AdapterDemand;
+  readonly #popularity: AdapterPopularity;
   readonly #turnover: SlotTurnover;
   readonly #adapters: AdapterLoader;
   readonly #models: ModelLoader;
@@ -75,13 +75,13 @@
   readonly #refused: RefusedRequests;
   readonly #refusals: RefusalPolicy;
   #lastIndex: PoolIndex | undefined;
-  #looksAgain = false;
-  #scheduled = false;
-  #closed = false;
+  #isRetryScheduled = false;
+  #isPlacementScheduled = false;
+  #isClosed = false;
 
   constructor(options: SlotPoolOptions) {
     this.#options = options;
-    this.#demand = new AdapterDemand(options.clock);
+    this.#popularity = new AdapterPopularity(options.clock);
     this.#turnover = new SlotTurnover(options.clock);
     const { clock, timing, memory, adapterVersion } = options;
     const after = (delayMs: number, action: () => void): void => this.#after(delayMs, action);
@@ -97,32 +97,32 @@
       this.#adapters.awaitPending(slots);
       const entry = this.#engines.get(slots.backend.id);
       const isLoadingModel = slots.busy && slots.models.size === 0;
-      if (isLoadingModel && entry !== undefined) this.#models.awaitEnd(slots, entry.lease);
+      if (isLoadingModel && entry !== undefined) this.#models.pollUntilIdle(slots, entry.lease);
       this.schedule();
     };
     const learnsSpeed = !options.off.has('learnt-speed');
     this.#engines = new EngineRegistry({ clock, lease: options, after, onAdopted, learnsSpeed });
-    const { speed } = this.#engines;
-    this.#waiting = new WaitingList((tokens) => tokens * speed.msPerToken, options.off, {
+    const { poolSpeed } = this.#engines;
+    this.#waiting = new WaitingList((tokens) => tokens * poolSpeed.msPerToken, options.off, {
       gapMs: () => this.#turnover.meanGapMs(),
       weightOf: options.tenantWeight,
     });
-    this.#choice = new EngineChoice(this.#engines, adapterVersion);
+    this.#selector = new EngineSelector(this.#engines, adapterVersion);
     this.#loads = new LoadStarter({
       clock,
       engines: this.#engines,
-      choice: this.#choice,
+      selector: this.#selector,
       adapters: this.#adapters,
       memory,
-      demand: this.#demand,
+      adapterPopularity: this.#popularity,
       waiting: this.#waiting,
       isBackingOff: options.isBackingOff,
-      off: options.off,
+      disabled: options.off,
     });
     this.#refusals = new RefusalPolicy({
       clock,
       engines: this.#engines,
-      choice: this.#choice,
+      selector: this.#selector,
       waiting: this.#waiting,
       turnover: this.#turnover,
       index: () => this.#index(),
@@ -130,7 +130,7 @@
       fetchWindow: () => this.#adapters.fetchWindow,
       after,
       refuse: (waiting, reason, retryAfterMs) => this.#refuse(waiting, reason, retryAfterMs),
-      off: options.off,
+      disabled: options.off,
     });
   }
 
@@ -138,14 +138,14 @@
   setEngines(backends: readonly BackendDescription[], profile: EngineProfile): void {
     this.#models.setRate(profile.storeLoadsPerSecond);
     this.#engines.update(backends, profile);
-    this.#adapters.expectEngines(backends.length);
+    this.#adapters.setEngineCount(backends.length);
     this.#lastIndex = undefined;
     this.schedule();
   }
 
   /** This node leads the pool from now on: leases that were observed long enough are taken at once. */
   lead(): void {
-    const evictAfterMs = this.#options.clock.now() + USES_KNOWN_AFTER_MS;
+    const evictAfterMs = this.#options.clock.now() + USES_REPORTED_WITHIN_MS;
     for (const { lease, slots } of this.#engines.all()) {
       slots.evictAfterMs = evictAfterMs;
       lease.wake();
@@ -166,13 +166,13 @@
   /** Takes over a request that another leader granted, or none, and that still runs. */
   adoptUse(use: RunningUse): void {
     const entry = this.#engines.get(use.backendId);
-    if (entry === undefined || this.#uses.get(use.requestId) !== undefined || this.#closed) return;
+    if (entry === undefined || this.#uses.get(use.requestId) !== undefined || this.#isClosed) return;
     const nowMs = this.#options.clock.now();
     const { model, adapter, requestId } = use;
     const slot = adapter === undefined ? undefined : entry.slots.get(adapterKey(model, adapter));
     this.#uses.begin(requestId, entry, slot);
-    if (!use.started) entry.slots.backlog.sent(requestId, use.promptTokens, nowMs);
-    this.#endIfLost(requestId, use.leftMs);
+    if (!use.started) entry.slots.backlog.add(requestId, use.promptTokens, nowMs);
+    this.#releaseAfterTimeout(requestId, use.leftMs);
   }
 
   /** Ends the lease of every engine until it has been observed again. */
@@ -187,7 +187,7 @@
 
   /** Answers everything that waits with a refusal and stops. */
   close(): void {
-    this.#closed = true;
+    this.#isClosed = true;
     this.#engines.close();
     for (const timer of this.#timers) timer.cancel();
     for (const waiting of this.#waiting.all()) this.#refuse(waiting, 'stopping', 0);
@@ -198,19 +198,20 @@
     const nowMs = this.#options.clock.now();
     const refusal = this.#refused.take(request.promptKey);
     // One that was refused late can't be answered in time any more, whatever its new attempt says.
-    const lostMs = refusal === 'late' ? request.objectiveMs : 0;
-    const arrivedMs = nowMs - request.ageMs - lostMs;
+    const penaltyMs = refusal === 'late' ? request.objectiveMs : 0;
+    const arrivedMs = nowMs - request.ageMs - penaltyMs;
     const returned = refusal !== undefined;
     const waiting: WaitingRequest = { request, arrivedMs, returned, decide, obstacle: 'none' };
-    if (this.#closed) {
+    if (this.#isClosed) {
       this.#refuse(waiting, 'stopping', 0);
       return;
     }
-    if (request.adapter !== undefined) this.#demand.count(adapterKey(request.model, request.adapter));
+    if (request.adapter !== undefined)
+      this.#popularity.recordRequest(adapterKey(request.model, request.adapter));
     this.#waiting.add(waiting);
     this.#place(waiting, this.#index(), nowMs);
     if (this.#waiting.get(request.id) === undefined) return;
-    this.#refusals.watch();
+    this.#refusals.scheduleCheck();
   }
 
   /** An engine names a limit for the requests of all nodes together, or names it no more (undefined). */
@@ -231,8 +232,8 @@
     const use = this.#uses.get(requestId);
     const entry = use === undefined ? undefined : this.#engines.get(use.engineId);
     if (use === undefined || entry === undefined) return;
-    entry.slots.backlog.read(requestId, this.#options.clock.now());
-    if (use.slot !== undefined) this.#adapters.served(use.slot);
+    entry.slots.backlog.recordRead(requestId, this.#options.clock.now());
+    if (use.slot !== undefined) this.#adapters.recordServed(use.slot);
     this.schedule();
   }
 
@@ -241,31 +242,31 @@
     const use = this.#uses.end(requestId, (id) => this.#engines.get(id));
     if (use === undefined) return;
     const entry = this.#engines.get(use.engineId);
-    if (entry !== undefined) this.#learnFrom(outcome, requestId, entry, use.slot);
+    if (entry !== undefined) this.#applyOutcome(outcome, requestId, entry, use.slot);
     this.schedule();
   }
 
-  #learnFrom(
+  #applyOutcome(
     outcome: UseOutcome,
     requestId: string,
     entry: EngineEntry,
     slot: AdapterSlot | undefined,
   ): void {
     const nowMs = this.#options.clock.now();
-    if (outcome === 'served') entry.slots.backlog.read(requestId, nowMs);
+    if (outcome === 'served') entry.slots.backlog.recordRead(requestId, nowMs);
     else entry.slots.backlog.drop(requestId);
-    if (outcome === 'not-present') this.#notPresent(entry, slot, nowMs);
+    if (outcome === 'not-present') this.#handleMissing(entry, slot, nowMs);
     else if (outcome === 'failed' || outcome === 'refused') {
       entry.slots.avoidUntilMs = nowMs + AVOID_AFTER_FAILURE_MS;
-    } else if (outcome === 'served' && slot !== undefined) this.#adapters.served(slot);
+    } else if (outcome === 'served' && slot !== undefined) this.#adapters.recordServed(slot);
   }
 
   /** Gives what waits to what is free, soon: changes that come close together are looked at once. */
   schedule(): void {
-    if (this.#closed || this.#scheduled) return;
-    this.#scheduled = true;
+    if (this.#isClosed || this.#isPlacementScheduled) return;
+    this.#isPlacementScheduled = true;
     this.#after(SCHEDULE_DELAY_MS, () => {
-      this.#scheduled = false;
+      this.#isPlacementScheduled = false;
       this.#placeAll();
     });
   }
@@ -282,7 +283,7 @@
   #index(): PoolIndex {
     const nowMs = this.#options.clock.now();
     const last = this.#lastIndex;
-    return last !== undefined && nowMs - last.builtMs < INDEX_AGE_MS ? last : this.#newIndex(nowMs);
+    return last !== undefined && nowMs - last.builtMs < MAX_INDEX_AGE_MS ? last : this.#newIndex(nowMs);
   }
 
   #newIndex(nowMs: number): PoolIndex {
@@ -299,7 +300,7 @@
       running: this.#uses.size,
       coldLoadMs: Math.round(this.#adapters.coldLoadMs),
       fetchWindow: this.#adapters.fetchWindow,
-      readMsPer1000: Math.round(this.#engines.speed.msPerToken * 1000),
+      readMsPer1000: Math.round(this.#engines.poolSpeed.msPerToken * 1000),
       gapMs: Math.round(this.#turnover.meanGapMs()),
     };
   }
@@ -308,61 +309,59 @@
 
   #place(waiting: WaitingRequest, index: PoolIndex, nowMs: number): void {
     const { request } = waiting;
-    const engine = this.#choice.best(request, index, nowMs);
+    const engine = this.#selector.best(request, index, nowMs);
     if (request.adapter === undefined) {
       waiting.obstacle = 'no-engine';
       if (engine !== undefined) this.#grant(waiting, engine, undefined, nowMs);
-      else if (this.#awaitsRate(request, index)) waiting.obstacle = 'rate-limit';
+      else if (this.#waitsForRateLimit(request, index)) waiting.obstacle = 'rate-limit';
       return;
     }
     const slot = engine?.slots.get(adapterKey(request.model, request.adapter));
-    const aheadMs = engine === undefined ? Infinity : backlogMs(engine, nowMs);
+    const aheadMs = engine === undefined ? Infinity : startDelayMs(engine, nowMs);
     // A copy on a second engine takes a slot from another adapter, so it is made for time alone only if some are idle.
     const hasSpare = index.spareShare >= SPARE_SHARE || this.#options.off.has('spare-copies');
     const copyAfterShare = hasSpare ? SHORT_BACKLOG_SHARE : LONG_BACKLOG_SHARE;
-    const copyAfterMs = Math.min(
-      request.objectiveMs * copyAfterShare,
-      this.#longestBacklogMs(waiting, nowMs),
-    );
-    const isSoon = aheadMs <= copyAfterMs;
-    if (engine !== undefined && isSoon && !isCrowded(engine)) {
+    const copyAfterMs = Math.min(request.objectiveMs * copyAfterShare, this.#maxBacklogMs(waiting, nowMs));
+    const isShortBacklog = aheadMs <= copyAfterMs;
+    if (engine !== undefined && isShortBacklog && !isCrowded(engine)) {
       this.#grant(waiting, engine, slot, nowMs);
       return;
     }
-    if (this.#choice.isLoading(request, index)) waiting.obstacle = 'loading';
+    if (this.#selector.isLoading(request, index)) waiting.obstacle = 'loading';
     else waiting.obstacle = this.#loads.start(waiting, index, aheadMs);
     if (engine === undefined) {
-      if (this.#awaitsRate(request, index) && waiting.obstacle !== 'loading') waiting.obstacle = 'rate-limit';
+      if (this.#waitsForRateLimit(request, index) && waiting.obstacle !== 'loading')
+        waiting.obstacle = 'rate-limit';
       return;
     }
-    if (aheadMs <= this.#longestBacklogMs(waiting, nowMs)) {
+    if (aheadMs <= this.#maxBacklogMs(waiting, nowMs)) {
       this.#grant(waiting, engine, slot, nowMs);
       return;
     }
     if (waiting.obstacle !== 'loading') waiting.obstacle = 'backlog';
-    this.#lookAgainLater();
+    this.#scheduleRetry();
   }
 
   /** Whether an engine that has what the request needs takes no more at present; it is looked at again as units come. */
-  #awaitsRate(request: SlotRequest, index: PoolIndex): boolean {
-    const awaits = this.#choice.isRateLimited(request, index);
-    if (awaits) this.#lookAgainLater();
-    return awaits;
+  #waitsForRateLimit(request: SlotRequest, index: PoolIndex): boolean {
+    const isLimited = this.#selector.isRateLimited(request, index);
+    if (isLimited) this.#scheduleRetry();
+    return isLimited;
   }
 
   /** Prompts ahead with which a request still goes to an engine. */
-  #longestBacklogMs({ request, arrivedMs }: WaitingRequest, nowMs: number): number {
-    const leftMs = this.#waiting.startWithinMs(request) - (nowMs - arrivedMs);
+  #maxBacklogMs({ request, arrivedMs }: WaitingRequest, nowMs: number): number {
+    const leftMs = this.#waiting.latestStartAgeMs(request) - (nowMs - arrivedMs);
     const latestMs = request.objectiveMs * LATE_BACKLOG_SHARE;
     return Math.max(latestMs, Math.min(leftMs, request.objectiveMs * LONG_BACKLOG_SHARE));
   }
 
   /** Backlogs shrink without an event, so requests that are held back for one are looked at again. */
-  #lookAgainLater(): void {
-    if (this.#looksAgain) return;
-    this.#looksAgain = true;
+  #scheduleRetry(): void {
+    if (this.#isRetryScheduled) return;
+    this.#isRetryScheduled = true;
     this.#after(BACKLOG_POLL_MS, () => {
-      this.#looksAgain = false;
+      this.#isRetryScheduled = false;
       this.#placeAll();
     });
   }
@@ -371,28 +370,28 @@
     const { request } = waiting;
     this.#waiting.granted(request.id, nowMs);
     const { id, address } = engine.slots.backend;
-    const aheadMs = engine.slots.backlog.aheadMs(nowMs);
-    this.#log('slot.granted', waiting, {
+    const aheadMs = engine.slots.backlog.remainingMs(nowMs);
+    this.#logDecision('slot.granted', waiting, {
       engine: id,
       aheadMs: Math.round(aheadMs),
       running: engine.slots.running,
     });
-    engine.slots.backlog.sent(request.id, request.promptTokens, nowMs);
+    engine.slots.backlog.add(request.id, request.promptTokens, nowMs);
     this.#uses.begin(request.id, engine, slot);
-    this.#endIfLost(request.id, request.timeoutMs - request.ageMs);
+    this.#releaseAfterTimeout(request.id, request.timeoutMs - request.ageMs);
     engine.rate.take();
     waiting.decide({ kind: 'granted', requestId: request.id, backendId: id, address, ...rateOf(engine) });
   }
 
   /** A user of a slot that vanished without a word must not keep it for ever. */
-  #endIfLost(requestId: string, leftMs: number): void {
+  #releaseAfterTimeout(requestId: string, leftMs: number): void {
     this.#after(Math.max(leftMs, 0) + LOST_RELEASE_MARGIN_MS, () => this.release(requestId, 'cancelled'));
   }
 
   /** The engine did not have what it was thought to have. */
-  #notPresent(entry: EngineEntry, slot: AdapterSlot | undefined, nowMs: number): void {
+  #handleMissing(entry: EngineEntry, slot: AdapterSlot | undefined, nowMs: number): void {
     if (slot !== undefined) {
-      this.#adapters.missing(entry, slot);
+      this.#adapters.handleMissing(entry, slot);
       return;
     }
     entry.lease.settle();
@@ -404,13 +403,13 @@
   #refuse(waiting: WaitingRequest, reason: RefusalReason, retryAfterMs: number): void {
     const { promptKey, objectiveMs } = waiting.request;
     const ageMs = this.#options.clock.now() - waiting.arrivedMs;
-    this.#log('slot.refused', waiting, { reason, retryAfterMs: Math.round(retryAfterMs) });
-    this.#refused.note(promptKey, ageMs <= objectiveMs * EARLY_SHARE ? 'early' : 'late');
+    this.#logDecision('slot.refused', waiting, { reason, retryAfterMs: Math.round(retryAfterMs) });
+    this.#refused.note(promptKey, ageMs <= objectiveMs * EARLY_REFUSAL_SHARE ? 'early' : 'late');
     waiting.decide({ kind: 'refused', requestId: waiting.request.id, reason, retryAfterMs });
   }
 
   /** One line for each decision about a request: its age, what it waited for, and what came of it. */
-  #log(event: string, waiting: WaitingRequest, fields: Record<string, string | number>): void {
+  #logDecision(event: string, waiting: WaitingRequest, fields: Record<string, string | number>): void {
     const { request, arrivedMs, obstacle, returned } = waiting;
     const ageMs = Math.round(this.#options.clock.now() - arrivedMs);
     const { traceId, adapter, promptTokens } = request;
@@ -421,7 +420,7 @@
   #after(delayMs: number, action: () => void): void {
     const timer = this.#options.clock.setTimer(delayMs, () => {
       this.#timers.delete(timer);
-      if (!this.#closed) action();
+      if (!this.#isClosed) action();
     });
     this.#timers.add(timer);
   }
--- a/packages/slots/src/slot-turnover.ts
+++ b/packages/slots/src/slot-turnover.ts
@@ -1,8 +1,8 @@
 import type { Clock } from '@canvasridge/clock';
 
-const WEIGHT = 0.1;
+const SMOOTHING_FACTOR = 0.1;
 const INITIAL_GAP_MS = 50;
-const LONGEST_GAP_MS = 2000;
+const MAX_GAP_MS = 2000;
 
 /** Mean time between two moments at which a slot of the pool becomes idle. */
 export class SlotTurnover {
@@ -14,11 +14,11 @@
     this.#clock = clock;
   }
 
-  freed(): void {
+  recordIdleSlot(): void {
     const nowMs = this.#clock.now();
     if (this.#lastMs !== undefined) {
-      const gapMs = Math.min(nowMs - this.#lastMs, LONGEST_GAP_MS);
-      this.#gapMs += WEIGHT * (gapMs - this.#gapMs);
+      const gapMs = Math.min(nowMs - this.#lastMs, MAX_GAP_MS);
+      this.#gapMs += SMOOTHING_FACTOR * (gapMs - this.#gapMs);
     }
     this.#lastMs = nowMs;
   }
@@ -27,7 +27,7 @@
    * The same, or the time for which none has become idle where that is longer.
    * @param sinceMs when the first of those that wait began to wait
    */
-  presentGapMs(sinceMs: number, nowMs: number): number {
+  currentGapMs(sinceMs: number, nowMs: number): number {
     return Math.max(this.#gapMs, nowMs - Math.max(this.#lastMs ?? -Infinity, sinceMs));
   }
 
--- a/packages/slots/src/store-load-budget.ts
+++ b/packages/slots/src/store-load-budget.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@canvasridge/clock';
 
 /** Part of the weight store's rate that is used: another node may have used some of it just before. */
-const SHARE = 0.8;
+const USED_RATE_SHARE = 0.8;
 const BURST = 2;
 
 /** Limits how often whole models are fetched from the weight store. */
@@ -9,16 +9,16 @@
   readonly #clock: Clock;
   #ratePerMs = 0;
   #tokens = BURST;
-  #atMs: number;
+  #refilledMs: number;
 
   constructor(clock: Clock) {
     this.#clock = clock;
-    this.#atMs = clock.now();
+    this.#refilledMs = clock.now();
   }
 
   setRate(perSecond: number): void {
     this.#refill();
-    this.#ratePerMs = (SHARE * perSecond) / 1000;
+    this.#ratePerMs = (USED_RATE_SHARE * perSecond) / 1000;
   }
 
   take(): boolean {
@@ -30,7 +30,7 @@
 
   #refill(): void {
     const nowMs = this.#clock.now();
-    this.#tokens = Math.min(BURST, this.#tokens + (nowMs - this.#atMs) * this.#ratePerMs);
-    this.#atMs = nowMs;
+    this.#tokens = Math.min(BURST, this.#tokens + (nowMs - this.#refilledMs) * this.#ratePerMs);
+    this.#refilledMs = nowMs;
   }
 }
--- a/packages/slots/src/waiting-list.ts
+++ b/packages/slots/src/waiting-list.ts
@@ -2,17 +2,17 @@
 import type { SlotDecision, SlotRequest } from './slot-request.js';
 
 /** Part of the objective that is kept for the way of the first event, and for what is not foreseen. */
-const RETURN_SHARE = 0.12;
+const FIRST_EVENT_MARGIN_SHARE = 0.12;
 /** A request whose prompt takes nearly its whole objective to be read still has this part of it to be started. */
-const LEAST_START_SHARE = 0.25;
+const MIN_START_SHARE = 0.25;
 
 /** A request of one priority lower may start this much later than others that arrived with it. */
-const PRIORITY_STEP_MS = 60;
+const MS_PER_PRIORITY_LEVEL = 60;
 /** One that comes back after a refusal goes this much before others: a second refusal costs more. */
-const RETURNED_BONUS_MS = 150;
+const RETURNED_BOOST_MS = 150;
 
 /** How tenants share what becomes free. */
-export interface TenantTurns {
+export interface TenantSharing {
   /** Mean time between two moments at which one that waits can start, in milliseconds. */
   readonly gapMs: () => number;
   /** A tenant's part beside others, above 0: what it may use by its quota, where it has one. */
@@ -20,15 +20,17 @@
 }
 
 /** A request that waits, with what its turn goes by. */
-interface Row {
+interface QueueEntry {
   readonly waiting: WaitingRequest;
   readonly late: number;
-  startByMs: number;
+  startDeadlineMs: number;
 }
 
-function inTurn(a: Row, b: Row): number {
+function compareEntries(a: QueueEntry, b: QueueEntry): number {
   return (
-    a.late - b.late || a.startByMs - b.startByMs || a.waiting.request.priority - b.waiting.request.priority
+    a.late - b.late ||
+    a.startDeadlineMs - b.startDeadlineMs ||
+    a.waiting.request.priority - b.waiting.request.priority
   );
 }
 
@@ -61,26 +63,26 @@
  */
 export class WaitingList {
   readonly #byId = new Map<string, WaitingRequest>();
-  readonly #readMs: (tokens: number) => number;
-  readonly #off: SwitchedOff;
-  readonly #turns: TenantTurns;
+  readonly #prefillMs: (tokens: number) => number;
+  readonly #disabled: SwitchedOff;
+  readonly #sharing: TenantSharing;
   /** By tenant: until when the turns that it had of late last. */
-  readonly #turnsUntilMs = new Map<string, number>();
+  readonly #virtualTimeMs = new Map<string, number>();
   /** Time for which one turn of a tenant counts, by tenant; empty while fewer than two wait. */
-  #turnMs: ReadonlyMap<string, number> = new Map();
+  #virtualCostMs: ReadonlyMap<string, number> = new Map();
 
   /**
    * @param readMs how long a prompt of a length takes to be read
-   * @param turns how tenants share what becomes free
+   * @param sharing how tenants share what becomes free
    */
   constructor(
     readMs: (tokens: number) => number,
-    off: SwitchedOff = new Set(),
-    turns: TenantTurns = { gapMs: () => 0, weightOf: () => 1 },
+    disabled: SwitchedOff = new Set(),
+    sharing: TenantSharing = { gapMs: () => 0, weightOf: () => 1 },
   ) {
-    this.#readMs = readMs;
-    this.#off = off;
-    this.#turns = turns;
+    this.#prefillMs = readMs;
+    this.#disabled = disabled;
+    this.#sharing = sharing;
   }
 
   get size(): number {
@@ -102,23 +104,24 @@
   }
 
   inOrder(nowMs: number): WaitingRequest[] {
-    const rows = [...this.#byId.values()].map((waiting) => ({
+    const entries = [...this.#byId.values()].map((waiting) => ({
       waiting,
       late: this.#isLate(waiting, nowMs) ? 1 : 0,
-      startByMs: this.#startByMs(waiting),
+      startDeadlineMs: this.#startDeadlineMs(waiting),
     }));
-    rows.sort(inTurn);
-    if (!this.#off.has('fair-tenants') && this.#takeTurns(rows, nowMs)) rows.sort(inTurn);
-    return rows.map(({ waiting }) => waiting);
+    entries.sort(compareEntries);
+    if (!this.#disabled.has('fair-tenants') && this.#delayByTenant(entries, nowMs))
+      entries.sort(compareEntries);
+    return entries.map(({ waiting }) => waiting);
   }
 
   /** A request is given an engine: its tenant has had its turn. */
   granted(id: string, nowMs: number): void {
     const waiting = this.remove(id);
     const tenant = waiting?.request.tenant;
-    const turnMs = tenant === undefined ? undefined : this.#turnMs.get(tenant);
+    const turnMs = tenant === undefined ? undefined : this.#virtualCostMs.get(tenant);
     if (tenant === undefined || turnMs === undefined) return;
-    this.#turnsUntilMs.set(tenant, Math.max(this.#turnsUntilMs.get(tenant) ?? 0, nowMs) + turnMs);
+    this.#virtualTimeMs.set(tenant, Math.max(this.#virtualTimeMs.get(tenant) ?? 0, nowMs) + turnMs);
   }
 
   /**
@@ -126,40 +129,41 @@
    * granted of late, and those before it here, had each waited for one of every tenant. With few waiting this moves nothing
    * by more than some ms; a tenant that fills the list waits behind itself. Returns whether anything was moved.
    */
-  #takeTurns(rows: Row[], nowMs: number): boolean {
-    this.#turnMs = this.#turnsOf(rows);
-    if (this.#turnMs.size === 0) {
-      this.#turnsUntilMs.clear();
+  #delayByTenant(entries: QueueEntry[], nowMs: number): boolean {
+    this.#virtualCostMs = this.#virtualCosts(entries);
+    if (this.#virtualCostMs.size === 0) {
+      this.#virtualTimeMs.clear();
       return false;
     }
-    const turnsMs = new Map<string, number>();
-    for (const row of rows) {
-      const { tenant } = row.waiting.request;
+    const delayByTenantMs = new Map<string, number>();
+    for (const entry of entries) {
+      const { tenant } = entry.waiting.request;
       if (tenant === undefined) continue;
-      const aheadMs = turnsMs.get(tenant) ?? Math.max((this.#turnsUntilMs.get(tenant) ?? 0) - nowMs, 0);
-      turnsMs.set(tenant, aheadMs + (this.#turnMs.get(tenant) ?? 0));
-      row.startByMs += aheadMs;
+      const aheadMs =
+        delayByTenantMs.get(tenant) ?? Math.max((this.#virtualTimeMs.get(tenant) ?? 0) - nowMs, 0);
+      delayByTenantMs.set(tenant, aheadMs + (this.#virtualCostMs.get(tenant) ?? 0));
+      entry.startDeadlineMs += aheadMs;
     }
     return true;
   }
 
   /** A turn counts for the time in which all that wait have theirs, a tenant of twice the weight twice. */
-  #turnsOf(rows: readonly Row[]): ReadonlyMap<string, number> {
+  #virtualCosts(entries: readonly QueueEntry[]): ReadonlyMap<string, number> {
     const weights = new Map<string, number>();
-    for (const { waiting } of rows) {
+    for (const { waiting } of entries) {
       const { tenant } = waiting.request;
-      if (tenant !== undefined && !weights.has(tenant)) weights.set(tenant, this.#turns.weightOf(tenant));
+      if (tenant !== undefined && !weights.has(tenant)) weights.set(tenant, this.#sharing.weightOf(tenant));
     }
     if (weights.size < 2) return new Map();
     const total = [...weights.values()].reduce((sum, weight) => sum + weight, 0);
-    const gapMs = this.#turns.gapMs();
+    const gapMs = this.#sharing.gapMs();
     return new Map([...weights].map(([tenant, weight]) => [tenant, (gapMs * total) / weight]));
   }
 
   /** Age at which a request has to be sent to an engine that is free, to meet its objective. */
-  startWithinMs({ objectiveMs, promptTokens }: SlotRequest): number {
-    const latestMs = objectiveMs * (1 - RETURN_SHARE) - this.#readMs(promptTokens);
-    return Math.max(latestMs, objectiveMs * LEAST_START_SHARE);
+  latestStartAgeMs({ objectiveMs, promptTokens }: SlotRequest): number {
+    const idealMs = objectiveMs * (1 - FIRST_EVENT_MARGIN_SHARE) - this.#prefillMs(promptTokens);
+    return Math.max(idealMs, objectiveMs * MIN_START_SHARE);
   }
 
   all(): WaitingRequest[] {
@@ -167,12 +171,12 @@
   }
 
   #isLate({ request, arrivedMs }: WaitingRequest, nowMs: number): boolean {
-    return !this.#off.has('late-last') && nowMs - arrivedMs > this.startWithinMs(request);
+    return !this.#disabled.has('late-last') && nowMs - arrivedMs > this.latestStartAgeMs(request);
   }
 
   /** Moment until which a request has to start, moved by its urgency. */
-  #startByMs({ request, arrivedMs, returned }: WaitingRequest): number {
-    const bonusMs = returned && !this.#off.has('returned-first') ? RETURNED_BONUS_MS : 0;
-    return arrivedMs + this.startWithinMs(request) + request.priority * PRIORITY_STEP_MS - bonusMs;
+  #startDeadlineMs({ request, arrivedMs, returned }: WaitingRequest): number {
+    const boostMs = returned && !this.#disabled.has('returned-first') ? RETURNED_BOOST_MS : 0;
+    return arrivedMs + this.latestStartAgeMs(request) + request.priority * MS_PER_PRIORITY_LEVEL - boostMs;
   }
 }
--- a/packages/slots/test/backing-off.test.ts
+++ b/packages/slots/test/backing-off.test.ts
@@ -24,7 +24,7 @@
   };
   for (const adapter of ['b', 'c', 'd', 'a']) await ask(adapter);
   t.deepEqual(
-    engines.map(({ taken }) => taken.length),
+    engines.map(({ applied }) => applied.length),
     [4, 0],
   );
   for (const decision of granted.values()) t.like(decision, { kind: 'granted', backendId: 'e1' });
--- a/packages/slots/test/engine-speeds.test.ts
+++ b/packages/slots/test/engine-speeds.test.ts
@@ -2,14 +2,14 @@
 import test from 'ava';
 import type { SlotRequest } from '../src/index.js';
 import { newPool } from './new-pool.js';
-import { PromptReader } from './prompt-reader.js';
+import { SimulatedPrefill } from './simulated-prefill.js';
 import { MODEL, SimulatedEngine } from './simulated-engines.js';
 
 const HELD_MS = 5000;
 const OBJECTIVE_MS = 800;
-const PLAYED_MS = 30_000;
+const RUN_MS = 30_000;
 
-interface Played {
+interface RunResult {
   readonly inTimeShare: number;
   /** Requests sent to each engine. */
   readonly sent: ReadonlyMap<string, number>;
@@ -17,12 +17,15 @@
 }
 
 /** Offers a pool a part of what its engines can read, with a few wanted adapters and many rare ones. */
-async function play(speeds: readonly number[], offeredShare: number, seed: number): Promise<Played> {
+async function runLoad(speeds: readonly number[], loadShare: number, seed: number): Promise<RunResult> {
   const clock = new VirtualClock();
   const random = new Random(seed);
   const engines = speeds.map((_, index) => new SimulatedEngine(clock, `e${index}`));
   const readers = new Map(
-    engines.map(({ description }, index) => [description.id, new PromptReader(clock, speeds[index] ?? 1)]),
+    engines.map(({ description }, index) => [
+      description.id,
+      new SimulatedPrefill(clock, speeds[index] ?? 1),
+    ]),
   );
   const pool = newPool(clock, engines);
   await clock.runUntil(HELD_MS);
@@ -30,7 +33,7 @@
   const sent = new Map<string, number>();
   let asked = 0;
   let inTime = 0;
-  while (clock.now() < HELD_MS + PLAYED_MS) {
+  while (clock.now() < HELD_MS + RUN_MS) {
     const promptTokens = 500 + random.integer(3000);
     const arrivedMs = clock.now();
     asked += 1;
@@ -53,13 +56,13 @@
       if (decision.kind !== 'granted') return;
       const { backendId } = decision;
       sent.set(backendId, (sent.get(backendId) ?? 0) + 1);
-      readers.get(backendId)?.read(promptTokens, () => {
+      readers.get(backendId)?.process(promptTokens, () => {
         if (clock.now() - arrivedMs <= OBJECTIVE_MS) inTime += 1;
         pool.started(request.id);
         clock.setTimer(100, () => pool.release(request.id, 'served'));
       });
     });
-    await clock.runUntil(arrivedMs + promptTokens / tokensPerMs / offeredShare);
+    await clock.runUntil(arrivedMs + promptTokens / tokensPerMs / loadShare);
   }
   await clock.runUntil(clock.now() + 3000);
   pool.close();
@@ -74,13 +77,13 @@
   [0.01, 0.04, 0.16],
 ]) {
   test(`engines that read a token in ${speeds.join(', ')} ms serve nearly all in time at half of their load`, async (t) => {
-    const played = await play(speeds, 0.5, 3);
+    const played = await runLoad(speeds, 0.5, 3);
     t.true(played.inTimeShare > 0.85, `${played.inTimeShare}`);
     t.deepEqual(played.violations, []);
   });
 }
 
 test('a fast engine is given more than a slow one', async (t) => {
-  const { sent } = await play([0.01, 0.04, 0.16], 0.5, 5);
+  const { sent } = await runLoad([0.01, 0.04, 0.16], 0.5, 5);
   t.true((sent.get('e0') ?? 0) > 2 * (sent.get('e2') ?? 0), JSON.stringify([...sent]));
 });
--- a/packages/slots/test/fetch-window.test.ts
+++ b/packages/slots/test/fetch-window.test.ts
@@ -3,7 +3,7 @@
 import test from 'ava';
 import { FetchWindow } from '../src/fetch-window.js';
 
-const USUAL_MS = 250;
+const BASELINE_MS = 250;
 
 /** A store that serves some number of fetches in the usual time, and more in proportion longer. */
 async function fetchInRounds(
@@ -15,13 +15,13 @@
   const sizes: number[] = [];
   for (let round = 0; round < rounds; round += 1) {
     const underWay = window.size;
-    const tookMs = USUAL_MS * Math.max(underWay / capacity, 1);
+    const tookMs = BASELINE_MS * Math.max(underWay / capacity, 1);
     // Requests come a little too early, again and again, as the guess is tight.
-    for (let ageMs = USUAL_MS; ageMs < tookMs; ageMs += 50) {
-      for (let fetch = 0; fetch < underWay; fetch += 1) window.missing(String(fetch), ageMs, underWay);
+    for (let ageMs = BASELINE_MS; ageMs < tookMs; ageMs += 50) {
+      for (let fetch = 0; fetch < underWay; fetch += 1) window.recordMissing(String(fetch), ageMs, underWay);
     }
     await clock.runUntil(clock.now() + Math.max(tookMs, 350));
-    for (let ended = 1; ended <= underWay; ended += 1) window.present(tookMs, underWay - ended);
+    for (let ended = 1; ended <= underWay; ended += 1) window.recordArrival(tookMs, underWay - ended);
     sizes.push(underWay);
   }
   return sizes;
@@ -30,7 +30,7 @@
 for (const capacity of [8, 32, 100]) {
   test(`the window finds a store that serves ${capacity} at full speed, and stays near it`, async (t) => {
     const clock = new VirtualClock();
-    const sizes = await fetchInRounds(new FetchWindow(clock, USUAL_MS), clock, capacity, 60);
+    const sizes = await fetchInRounds(new FetchWindow(clock, BASELINE_MS), clock, capacity, 60);
     const last = sizes.slice(-30);
     t.true(Math.max(...last) <= capacity * 1.5, `largest ${Math.max(...last)}`);
     t.true(Math.min(...last) >= capacity * 0.5, `smallest ${Math.min(...last)}`);
@@ -38,50 +38,51 @@
 }
 
 test('a window that is not used does not grow', (t) => {
-  const window = new FetchWindow(new VirtualClock(), USUAL_MS);
+  const window = new FetchWindow(new VirtualClock(), BASELINE_MS);
   const before = window.size;
-  for (let fetches = 0; fetches < 100; fetches += 1) window.present(USUAL_MS, 1);
+  for (let fetches = 0; fetches < 100; fetches += 1) window.recordArrival(BASELINE_MS, 1);
   t.is(window.size, before);
 });
 
 test('signs that come together shrink it once', (t) => {
-  const window = new FetchWindow(new VirtualClock(), USUAL_MS);
+  const window = new FetchWindow(new VirtualClock(), BASELINE_MS);
   const before = window.size;
-  for (let fetch = 0; fetch < 12; fetch += 1) window.missing(String(fetch), 500, 12);
+  for (let fetch = 0; fetch < 12; fetch += 1) window.recordMissing(String(fetch), 500, 12);
   const once = window.size;
   t.true(once < before);
-  for (let fetch = 12; fetch < 24; fetch += 1) window.missing(String(fetch), 500, 12);
+  for (let fetch = 12; fetch < 24; fetch += 1) window.recordMissing(String(fetch), 500, 12);
   t.is(window.size, once);
 });
 
 test('one fetch that stays away tells of its engine, and does not shrink it', async (t) => {
   const clock = new VirtualClock();
-  const window = new FetchWindow(clock, USUAL_MS);
+  const window = new FetchWindow(clock, BASELINE_MS);
   const before = window.size;
   for (let ageMs = 260; ageMs < 2500; ageMs += 50) {
     await clock.runUntil(ageMs);
-    window.missing('engine/adapter', ageMs, 12);
-    window.missing('engine/other', ageMs, 12);
+    window.recordMissing('engine/adapter', ageMs, 12);
+    window.recordMissing('engine/other', ageMs, 12);
   }
   t.is(window.size, before);
 });
 
 test('fetches that are late while others come in time tell of their engines, however many they are', async (t) => {
   const clock = new VirtualClock();
-  const window = new FetchWindow(clock, USUAL_MS);
+  const window = new FetchWindow(clock, BASELINE_MS);
   for (let round = 0; round < 60; round += 1) {
-    await clock.runUntil(clock.now() + USUAL_MS);
+    await clock.runUntil(clock.now() + BASELINE_MS);
     const underWay = window.size;
     for (let fetch = 0; fetch < underWay / 2; fetch += 1)
-      window.missing(`${round}/${fetch}`, 2 * USUAL_MS, underWay);
-    for (let ended = 1; ended <= underWay / 2; ended += 1) window.present(USUAL_MS, underWay - ended);
+      window.recordMissing(`${round}/${fetch}`, 2 * BASELINE_MS, underWay);
+    for (let ended = 1; ended <= underWay / 2; ended += 1)
+      window.recordArrival(BASELINE_MS, underWay - ended);
   }
   t.true(window.size > 100, `size ${window.size}`);
 });
 
 test('a window that shrank for a store that was slow for a while grows again', async (t) => {
   const clock = new VirtualClock();
-  const window = new FetchWindow(clock, USUAL_MS);
+  const window = new FetchWindow(clock, BASELINE_MS);
   await fetchInRounds(window, clock, 80, 30);
   await fetchInRounds(window, clock, 8, 10);
   t.true(window.size <= 16, `size ${window.size}`);
@@ -90,27 +91,27 @@
 });
 
 test('fetches that were only a little late do not shrink it', (t) => {
-  const window = new FetchWindow(new VirtualClock(), USUAL_MS);
+  const window = new FetchWindow(new VirtualClock(), BASELINE_MS);
   const before = window.size;
-  for (let fetch = 0; fetch < 40; fetch += 1) window.missing(String(fetch), 280, 40);
+  for (let fetch = 0; fetch < 40; fetch += 1) window.recordMissing(String(fetch), 280, 40);
   t.is(window.size, before);
 });
 
 test('before anything is known one fetch for each engine may be under way, and no more once the store has told', (t) => {
-  const window = new FetchWindow(new VirtualClock(), USUAL_MS);
-  window.expect(6);
+  const window = new FetchWindow(new VirtualClock(), BASELINE_MS);
+  window.setEngineCount(6);
   t.is(window.size, 12);
-  window.expect(98);
+  window.setEngineCount(98);
   t.is(window.size, 98);
-  window.present(USUAL_MS, 1);
-  window.expect(300);
+  window.recordArrival(BASELINE_MS, 1);
+  window.setEngineCount(300);
   t.is(window.size, 98);
 });
 
 test('a first guess far above what the store serves is corrected within a few rounds', async (t) => {
   const clock = new VirtualClock();
-  const window = new FetchWindow(clock, USUAL_MS);
-  window.expect(100);
+  const window = new FetchWindow(clock, BASELINE_MS);
+  window.setEngineCount(100);
   const sizes = await fetchInRounds(window, clock, 16, 12);
   t.true(Math.max(...sizes.slice(4)) <= 16 * 1.6, `sizes ${sizes.join(' ')}`);
 });
--- a/packages/slots/test/order-lease.test.ts
+++ b/packages/slots/test/order-lease.test.ts
@@ -54,7 +54,7 @@
   const reply = lease.order(load('x'));
   await clock.runUntil(LEASE_MS + 1600);
   t.deepEqual(await reply, { kind: 'accepted' });
-  t.is(engine.taken.length, 1);
+  t.is(engine.applied.length, 1);
 });
 
 test('a holder that gave no order for a lease finds out before its next one that another node took the engine', async (t) => {
@@ -137,7 +137,7 @@
   await clock.runUntil(10_000);
   void second.order(load('b'));
   await clock.runUntil(10_100);
-  t.is(engine.taken.length, 2);
+  t.is(engine.applied.length, 2);
   t.deepEqual(engine.violations, []);
 });
 
@@ -154,8 +154,8 @@
   await clock.runUntil(10_000);
   void second.order(load('b'));
   await clock.runUntil(10_100);
-  t.is(engine.taken.length, 1);
-  t.true((engine.taken[0]?.order.fence ?? 0) > seen);
+  t.is(engine.applied.length, 1);
+  t.true((engine.applied[0]?.order.fence ?? 0) > seen);
 });
 
 test('a holder that knows nothing of former ones has a higher fence than one whose last order changed nothing', async (t) => {
@@ -174,8 +174,8 @@
   await clock.runUntil(10_000);
   void second.order(load('b'));
   await clock.runUntil(10_100);
-  t.is(engine.taken.length, 2);
-  t.true((engine.taken[1]?.order.fence ?? 0) > seen);
+  t.is(engine.applied.length, 2);
+  t.true((engine.applied[1]?.order.fence ?? 0) > seen);
 });
 
 test('a holder that slept through the turn of another finds out and gives no order', async (t) => {
@@ -192,7 +192,7 @@
   t.deepEqual(await late, { kind: 'conflict' });
   await clock.runUntil(11_000);
   t.false(sleeper.held);
-  t.is(engine.taken.length, 1);
+  t.is(engine.applied.length, 1);
 });
 
 for (const wasTaken of [true, false]) {
@@ -213,7 +213,7 @@
     t.is(reports.at(-1)?.orderCount, wasTaken ? 1 : 0);
     void lease.order(load('b'));
     await clock.runUntil(8100);
-    t.is(engine.taken.at(-1)?.order.adapter, 'b');
+    t.is(engine.applied.at(-1)?.order.adapter, 'b');
     t.deepEqual(engine.violations, []);
   });
 }
@@ -291,7 +291,7 @@
   await clock.runUntil(8000);
   t.not((await late).kind, 'accepted', 'an order of the one that was gone is not carried out');
   t.deepEqual(
-    engine.taken.map(({ order }) => order.holder),
+    engine.applied.map(({ order }) => order.holder),
     ['node-9', 'node-1'],
   );
   t.deepEqual(engine.violations, []);
@@ -352,13 +352,13 @@
     await clock.runUntil(atMs);
   }
   t.deepEqual(
-    engine.taken.map(({ order }) => order.holder),
+    engine.applied.map(({ order }) => order.holder),
     ['node-1', 'node-9'],
   );
   for (let atMs = 4000; atMs < 8000; atMs += 50) {
     void first.order(load('c'));
     await clock.runUntil(atMs);
   }
-  t.is(engine.taken.at(-1)?.order.holder, 'node-1', 'a lease later it does');
+  t.is(engine.applied.at(-1)?.order.holder, 'node-1', 'a lease later it does');
   t.deepEqual(engine.violations, []);
 });
--- a/packages/slots/test/prompt-backlog.test.ts
+++ b/packages/slots/test/prompt-backlog.test.ts
@@ -1,16 +1,16 @@
 import { Random, VirtualClock } from '@canvasridge/clock';
 import test from 'ava';
 import { PromptBacklog } from '../src/prompt-backlog.js';
-import { speedOfFellows } from '../src/reading-speed.js';
-import { PromptReader } from './prompt-reader.js';
+import { newPoolSpeed } from '../src/prefill-speed.js';
+import { SimulatedPrefill } from './simulated-prefill.js';
 
 let nextId = 0;
 
 /** Sends prompts of different lengths at about 0.7 of what the reader bears. */
-async function load(
+async function runLoad(
   clock: VirtualClock,
   backlog: PromptBacklog,
-  reader: PromptReader,
+  reader: SimulatedPrefill,
   forMs: number,
 ): Promise<void> {
   const random = new Random(7);
@@ -19,8 +19,8 @@
     const tokens = 500 + random.integer(6000);
     nextId += 1;
     const id = `p${nextId}`;
-    backlog.sent(id, tokens, clock.now());
-    reader.read(tokens, () => backlog.read(id, clock.now()));
+    backlog.add(id, tokens, clock.now());
+    reader.process(tokens, () => backlog.recordRead(id, clock.now()));
     await clock.runUntil(clock.now() + (tokens * reader.msPerToken) / 0.7);
   }
 }
@@ -29,7 +29,7 @@
   test(`an engine that reads a token in ${msPerToken} ms is known to do so after some prompts`, async (t) => {
     const clock = new VirtualClock();
     const backlog = new PromptBacklog(undefined);
-    await load(clock, backlog, new PromptReader(clock, msPerToken), 8000);
+    await runLoad(clock, backlog, new SimulatedPrefill(clock, msPerToken), 8000);
     t.true(backlog.speed.msPerToken > msPerToken * 0.7, `${backlog.speed.msPerToken}`);
     t.true(backlog.speed.msPerToken < msPerToken * 1.4, `${backlog.speed.msPerToken}`);
   });
@@ -38,40 +38,40 @@
 test('an engine that turns five times slower for a while is known to, and forgiven as soon', async (t) => {
   const clock = new VirtualClock();
   const backlog = new PromptBacklog(undefined);
-  const reader = new PromptReader(clock, 0.03);
-  await load(clock, backlog, reader, 6000);
+  const reader = new SimulatedPrefill(clock, 0.03);
+  await runLoad(clock, backlog, reader, 6000);
   reader.msPerToken = 0.15;
-  await load(clock, backlog, reader, 7500);
+  await runLoad(clock, backlog, reader, 7500);
   t.true(backlog.speed.msPerToken > 0.1, `${backlog.speed.msPerToken}`);
   reader.msPerToken = 0.03;
-  await load(clock, backlog, reader, 5000);
+  await runLoad(clock, backlog, reader, 5000);
   t.true(backlog.speed.msPerToken < 0.05, `${backlog.speed.msPerToken}`);
 });
 
 test('an engine of which nothing is known is believed to be as fast as its fellows', async (t) => {
   const clock = new VirtualClock();
-  const fellows = speedOfFellows();
-  await load(clock, new PromptBacklog(fellows), new PromptReader(clock, 0.012), 6000);
+  const fellows = newPoolSpeed();
+  await runLoad(clock, new PromptBacklog(fellows), new SimulatedPrefill(clock, 0.012), 6000);
   t.true(Math.abs(new PromptBacklog(fellows).speed.msPerToken - 0.012) < 0.005);
 });
 
 test('a backlog ends with the prompts that it was counted from, whatever speed was believed', async (t) => {
   const clock = new VirtualClock();
   const backlog = new PromptBacklog(undefined);
-  for (const id of ['a', 'b', 'c']) backlog.sent(id, 10_000, clock.now());
-  t.true(backlog.aheadMs(clock.now()) > 1000, 'by the first guess');
+  for (const id of ['a', 'b', 'c']) backlog.add(id, 10_000, clock.now());
+  t.true(backlog.remainingMs(clock.now()) > 1000, 'by the first guess');
   await clock.runUntil(100);
-  for (const id of ['a', 'b']) backlog.read(id, clock.now());
+  for (const id of ['a', 'b']) backlog.recordRead(id, clock.now());
   backlog.drop('c');
-  t.is(backlog.aheadMs(clock.now()), 0);
+  t.is(backlog.remainingMs(clock.now()), 0);
   t.is(backlog.tokens, 0);
 });
 
 test('an engine that shows nothing is taken to be slower, the longer it lasts', async (t) => {
   const clock = new VirtualClock();
   const backlog = new PromptBacklog(undefined);
-  backlog.sent('a', 4000, clock.now());
-  const firstMs = backlog.aheadMs(clock.now());
+  backlog.add('a', 4000, clock.now());
+  const firstMs = backlog.remainingMs(clock.now());
   await clock.runUntil(firstMs * 3);
-  t.true(backlog.aheadMs(clock.now()) > firstMs * 2);
+  t.true(backlog.remainingMs(clock.now()) > firstMs * 2);
 });
--- a/packages/slots/test/rate-limit.test.ts
+++ b/packages/slots/test/rate-limit.test.ts
@@ -21,7 +21,7 @@
 }
 
 /** Requests for a few adapters, so many a second, which run for a while where they are granted. */
-async function play(
+async function runLoad(
   clock: VirtualClock,
   pool: SlotPool,
   seed: number,
@@ -50,7 +50,7 @@
   return figures;
 }
 
-function fullest(timesMs: readonly number[]): number {
+function maxInWindow(timesMs: readonly number[]): number {
   const counts = timesMs.map(
     (fromMs) => timesMs.filter((atMs) => atMs >= fromMs && atMs < fromMs + WINDOW_MS).length,
   );
@@ -67,16 +67,16 @@
   return { clock, pool };
 }
 
-const MOST_IN_WINDOW = 1.5 * PER_SECOND * (WINDOW_MS / 1000) + 5;
+const MAX_IN_WINDOW = 1.5 * PER_SECOND * (WINDOW_MS / 1000) + 5;
 
 test('an engine that names a limit is granted within it; its adapters are served by the others', async (t) => {
   for (const seed of SEEDS) {
     const { clock, pool } = await startPool(3);
-    await play(clock, pool, seed, 5);
+    await runLoad(clock, pool, seed, 5);
     pool.setRateLimit('e0', RULE);
-    const { grantedMs, refused } = await play(clock, pool, seed + 100, 30);
+    const { grantedMs, refused } = await runLoad(clock, pool, seed + 100, 30);
     const limited = grantedMs.get('e0') ?? [];
-    t.true(fullest(limited) <= MOST_IN_WINDOW, `seed ${seed}: ${fullest(limited)} in 4 s`);
+    t.true(maxInWindow(limited) <= MAX_IN_WINDOW, `seed ${seed}: ${maxInWindow(limited)} in 4 s`);
     t.true(limited.length <= PER_SECOND * 30 + RULE.burst, `seed ${seed}: ${limited.length} in 30 s`);
     t.is(refused, 0, `seed ${seed}`);
     t.log(`seed ${seed}: used ${(limited.length / (PER_SECOND * 30)).toFixed(2)} of the limit`);
@@ -86,11 +86,11 @@
 test('where all engines name a limit, it is used, and what is beyond it is refused as soon as that is known', async (t) => {
   for (const seed of SEEDS) {
     const { clock, pool } = await startPool(3);
-    await play(clock, pool, seed, 5);
+    await runLoad(clock, pool, seed, 5);
     for (const id of ['e0', 'e1', 'e2']) pool.setRateLimit(id, RULE);
-    const { grantedMs, refused } = await play(clock, pool, seed + 100, 30);
+    const { grantedMs, refused } = await runLoad(clock, pool, seed + 100, 30);
     for (const [id, timesMs] of grantedMs) {
-      t.true(fullest(timesMs) <= MOST_IN_WINDOW, `seed ${seed}: ${id} ${fullest(timesMs)} in 4 s`);
+      t.true(maxInWindow(timesMs) <= MAX_IN_WINDOW, `seed ${seed}: ${id} ${maxInWindow(timesMs)} in 4 s`);
     }
     const granted = [...grantedMs.values()].flat().length;
     t.true(granted >= 0.9 * 3 * PER_SECOND * 30, `seed ${seed}: ${granted} granted`);
--- a/packages/slots/test/simulated-engines.ts
+++ b/packages/slots/test/simulated-engines.ts
@@ -9,7 +9,7 @@
 const WARM_LOAD_MS = 25;
 export const LEASE_MS = 3000;
 /** Adapters that may be on their way at the same time. */
-const MOST_PENDING = 4;
+const MAX_PENDING = 4;
 
 export const MODEL = 'base';
 export const PROFILE: EngineProfile = {
@@ -34,7 +34,7 @@
   /** Orders that came, whatever the answer to them: holders are judged by these. */
   readonly arrived: TimedOrder[] = [];
   /** Those of them that were carried out and counted. */
-  readonly taken: TimedOrder[] = [];
+  readonly applied: TimedOrder[] = [];
   readonly violations: string[] = [];
   /** Orders refused since the count differed or too many adapters were on their way. */
   conflicts = 0;
@@ -48,7 +48,7 @@
   #highestFence = 0;
   readonly #clock: Clock;
   readonly #adapters = new Map<string, { readyAtMs: number }>();
-  readonly #remembered = new Set<string>();
+  readonly #hostMemory = new Set<string>();
   readonly #history: { atMs: number; report: EngineReport }[] = [];
   #count = 0;
 
@@ -63,7 +63,7 @@
       slots: PROFILE.batchSlots,
       models: [{ name: MODEL, adapters: [] }],
     };
-    this.#remember();
+    this.#recordState();
   }
 
   /** Whether a request for the adapter would run now. */
@@ -80,9 +80,9 @@
   async report(): Promise<EngineReport | undefined> {
     await this.#clock.sleep(2 * ONE_WAY_MS);
     if (!this.reachable) return undefined;
-    const shownMs = this.#clock.now() - REPORT_LAG_MS;
-    if (this.busyUntilMs > 0) this.#remember();
-    return this.#history.findLast((entry) => entry.atMs <= shownMs)?.report ?? this.#history[0]?.report;
+    const reportedMs = this.#clock.now() - REPORT_LAG_MS;
+    if (this.busyUntilMs > 0) this.#recordState();
+    return this.#history.findLast((entry) => entry.atMs <= reportedMs)?.report ?? this.#history[0]?.report;
   }
 
   async order(order: EngineOrder): Promise<OrderReply> {
@@ -91,14 +91,14 @@
       await this.#clock.sleep(600);
       return { kind: 'unknown', detail: 'no answer' };
     }
-    const reply = this.#take(order);
+    const reply = this.#applyOrder(order);
     if (reply.kind === 'conflict') this.conflicts += 1;
     await this.#clock.sleep(ONE_WAY_MS);
     return this.losesAnswers ? { kind: 'unknown', detail: 'answer lost' } : reply;
   }
 
-  #take(order: EngineOrder): OrderReply {
-    this.#judge(order);
+  #applyOrder(order: EngineOrder): OrderReply {
+    this.#checkHolderRules(order);
     if (this.checksFences && order.fence < this.#highestFence) return { kind: 'fenced' };
     this.#highestFence = Math.max(this.#highestFence, order.fence);
     const adapter = order.adapter ?? '';
@@ -110,19 +110,19 @@
       return { kind: 'done' };
     }
     if (order.expectedCount !== this.#count) return { kind: 'conflict' };
-    if (order.action === 'load' && this.#pendingCount() >= MOST_PENDING) return { kind: 'conflict' };
-    this.taken.push({ atMs: this.#clock.now(), order });
+    if (order.action === 'load' && this.#pendingCount() >= MAX_PENDING) return { kind: 'conflict' };
+    this.applied.push({ atMs: this.#clock.now(), order });
     this.#count += 1;
     if (order.action === 'unload') this.#adapters.delete(adapter);
     else this.#load(adapter);
-    this.#remember();
+    this.#recordState();
     return { kind: order.action === 'unload' ? 'done' : 'accepted' };
   }
 
   #load(adapter: string): void {
-    const loadMs = this.#remembered.has(adapter) ? WARM_LOAD_MS : COLD_LOAD_MS;
+    const loadMs = this.#hostMemory.has(adapter) ? WARM_LOAD_MS : COLD_LOAD_MS;
     this.#adapters.set(adapter, { readyAtMs: this.#clock.now() + loadMs });
-    this.#remembered.add(adapter);
+    this.#hostMemory.add(adapter);
     if (this.#adapters.size > PROFILE.adapterSlots) this.violations.push(`LIMIT: ${adapter} is one too many`);
   }
 
@@ -134,7 +134,7 @@
    * The users' rule on holders: no turns within a lease, no shared fence, no lower fence after a higher one. An order that
    * is refused or changes nothing counts as well: it shows that its sender took itself for the holder.
    */
-  #judge(order: EngineOrder): void {
+  #checkHolderRules(order: EngineOrder): void {
     const last = this.arrived.at(-1);
     const atMs = this.#clock.now();
     this.arrived.push({ atMs, order });
@@ -154,7 +154,7 @@
     return this.#clock.now() < this.busyUntilMs;
   }
 
-  #remember(): void {
+  #recordState(): void {
     const adapters = [];
     const pending = [];
     for (const [name, held] of this.#adapters) {
--- a/packages/slots/test/prompt-reader.ts
+++ b/packages/slots/test/simulated-prefill.ts
@@ -1,7 +1,7 @@
 import type { VirtualClock } from '@canvasridge/clock';
 
 /** Reads prompts one after the other, as an engine does. */
-export class PromptReader {
+export class SimulatedPrefill {
   readonly #clock: VirtualClock;
   #freeAtMs = 0;
 
@@ -14,9 +14,9 @@
   }
 
   /** Calls back when the prompt was read. */
-  read(tokens: number, onRead: () => void): void {
+  process(tokens: number, onDone: () => void): void {
     const nowMs = this.#clock.now();
     this.#freeAtMs = Math.max(this.#freeAtMs, nowMs) + tokens * this.msPerToken;
-    this.#clock.setTimer(this.#freeAtMs - nowMs, onRead);
+    this.#clock.setTimer(this.#freeAtMs - nowMs, onDone);
   }
 }
--- a/packages/slots/test/slot-pool.test.ts
+++ b/packages/slots/test/slot-pool.test.ts
@@ -3,12 +3,12 @@
 import { type SlotPool, WaitingList, type SlotDecision, type UseOutcome } from '../src/index.js';
 import { newPool } from './new-pool.js';
 import { newRequest as request } from './new-request.js';
-import { PromptReader } from './prompt-reader.js';
+import { SimulatedPrefill } from './simulated-prefill.js';
 import { LEASE_MS, PROFILE, SimulatedEngine } from './simulated-engines.js';
 
 const HELD_MS = 5000;
 /** Time that engines take to read the prompt of a usual request. */
-const READ_MS = 50;
+const PREFILL_MS = 50;
 
 /** Requests that take all adapter slots of one engine, and keep them. */
 async function fillSlots(clock: VirtualClock, pool: SlotPool): Promise<void> {
@@ -47,10 +47,10 @@
   }
   await clock.runUntil(HELD_MS + 900);
   t.is(granted.length, PROFILE.adapterSlots);
-  t.is(engine.taken.filter(({ order }) => order.action === 'unload').length, 0);
+  t.is(engine.applied.filter(({ order }) => order.action === 'unload').length, 0);
   pool.release(granted[0] ?? '', 'served');
   await clock.runUntil(HELD_MS + 1500);
-  t.is(engine.taken.filter(({ order }) => order.action === 'unload').length, 1);
+  t.is(engine.applied.filter(({ order }) => order.action === 'unload').length, 1);
   t.deepEqual(engine.violations, []);
 });
 
@@ -92,7 +92,7 @@
   await clock.runUntil(HELD_MS + 1200);
   t.true(granted);
   t.deepEqual(
-    engine.taken.map(({ order }) => order.action),
+    engine.applied.map(({ order }) => order.action),
     ['load', 'unload', 'load'],
   );
 });
@@ -146,7 +146,7 @@
     pool.acquire(request(adapter), (decision) => {
       if (decision.kind !== 'granted') return;
       granted.push(decision.requestId);
-      clock.setTimer(READ_MS, () => pool.started(decision.requestId));
+      clock.setTimer(PREFILL_MS, () => pool.started(decision.requestId));
     });
   }
   await clock.runUntil(HELD_MS + 100);
@@ -179,7 +179,7 @@
   await clock.runUntil(HELD_MS + 10_000);
   t.is(engine.conflicts, 0);
   t.is(served, 30);
-  t.true(engine.taken.length >= 54, `all were loaded in turn: ${engine.taken.length}`);
+  t.true(engine.applied.length >= 54, `all were loaded in turn: ${engine.applied.length}`);
 });
 
 /** A pool under random load and faults; returns the violations that the engines saw. */
@@ -226,12 +226,14 @@
   const pool = newPool(clock, engines);
   await clock.runUntil(HELD_MS);
   const granted: string[] = [];
-  const readers = new Map(engines.map(({ description }) => [description.id, new PromptReader(clock, 0.05)]));
+  const readers = new Map(
+    engines.map(({ description }) => [description.id, new SimulatedPrefill(clock, 0.05)]),
+  );
   const ask = (): void =>
     pool.acquire(request('x', { promptTokens: 3000 }), (decision) => {
       if (decision.kind !== 'granted') return;
       granted.push(decision.backendId);
-      readers.get(decision.backendId)?.read(3000, () => pool.started(decision.requestId));
+      readers.get(decision.backendId)?.process(3000, () => pool.started(decision.requestId));
     });
   for (let index = 0; index < 12; index += 1) ask();
   await clock.runUntil(HELD_MS + 700);
@@ -271,7 +273,7 @@
     granted = decision.kind === 'granted';
   });
   await clock.runUntil(HELD_MS + 150);
-  t.deepEqual([pool.describe().engines, granted, engine.taken.length], [0, false, 0]);
+  t.deepEqual([pool.describe().engines, granted, engine.applied.length], [0, false, 0]);
   pool.setEngines([engine.description], PROFILE);
   t.is(pool.describe().held, 1);
   await clock.runUntil(HELD_MS + 600);
--- a/packages/slots/test/tenant-fairness.test.ts
+++ b/packages/slots/test/tenant-fairness.test.ts
@@ -9,23 +9,23 @@
 import { WaitingList, type SlotRequest, type WaitingRequest } from '../src/index.js';
 
 const TENANTS = 16;
-const HOT = 1;
-const JUMP = 6;
+const SURGING_TENANT = 1;
+const SURGE_FACTOR = 6;
 const USUAL_PER_SECOND = 400;
 const SERVED_PER_SECOND = 420;
 const OBJECTIVE_MS = 1000;
 const STEP_MS = 10;
-const PLAY_MS = 8000;
+const RUN_MS = 8000;
 /** A tenant is starved if it is served less often than this part of how often all are. */
 const STARVED_SHARE = 0.25;
-const GAP_MS = 1000 / SERVED_PER_SECOND;
+const START_INTERVAL_MS = 1000 / SERVED_PER_SECOND;
 
 interface Served {
   readonly asked: number[];
   readonly inTime: number[];
 }
 
-function sizes(): number[] {
+function usualRates(): number[] {
   const weights = Array.from({ length: TENANTS }, (_, index) => 1 / (index + 1));
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   return weights.map((weight) => (weight / total) * USUAL_PER_SECOND);
@@ -51,13 +51,13 @@
   return { request: request(id, tenant), arrivedMs, ...wait };
 }
 
-function play(list: WaitingList): Served {
+function simulate(list: WaitingList): Served {
   const random = new Random(3);
-  const rates = sizes().map((rate, tenant) => (tenant === HOT ? rate * JUMP : rate));
+  const rates = usualRates().map((rate, tenant) => (tenant === SURGING_TENANT ? rate * SURGE_FACTOR : rate));
   const served: Served = { asked: rates.map(() => 0), inTime: rates.map(() => 0) };
   let nextId = 0;
   let capacity = 0;
-  for (let nowMs = 0; nowMs < PLAY_MS; nowMs += STEP_MS) {
+  for (let nowMs = 0; nowMs < RUN_MS; nowMs += STEP_MS) {
     for (const [tenant, rate] of rates.entries()) {
       const arriving = Math.floor((rate * STEP_MS) / 1000 + random.next());
       served.asked[tenant] = (served.asked[tenant] ?? 0) + arriving;
@@ -83,28 +83,32 @@
 }
 
 /** Parts served in time: the least over the tenants that did not jump, the one that did, and all together. */
-interface Parts {
-  readonly leastOfOthers: number;
-  readonly hot: number;
+interface ServedShares {
+  readonly minOfOthers: number;
+  readonly surging: number;
   readonly all: number;
 }
 
-function parts({ asked, inTime }: Served): Parts {
+function servedShares({ asked, inTime }: Served): ServedShares {
   const all = asked.map((count, tenant) => (inTime[tenant] ?? 0) / Math.max(count, 1));
-  const others = all.filter((_, tenant) => tenant !== HOT);
+  const others = all.filter((_, tenant) => tenant !== SURGING_TENANT);
   const total = (counts: readonly number[]): number => counts.reduce((sum, count) => sum + count, 0);
-  return { leastOfOthers: Math.min(...others), hot: all[HOT] ?? 0, all: total(inTime) / total(asked) };
+  return {
+    minOfOthers: Math.min(...others),
+    surging: all[SURGING_TENANT] ?? 0,
+    all: total(inTime) / total(asked),
+  };
 }
 
 test('tenants that ask for no more than before are served as before while another jumps', (t) => {
-  const byDeadline = parts(play(new WaitingList(() => 0, new Set(['fair-tenants']))));
-  const usual = sizes();
+  const byDeadline = servedShares(simulate(new WaitingList(() => 0, new Set(['fair-tenants']))));
+  const usual = usualRates();
   const weightOf = (tenant: string): number => usual[Number(tenant.slice('tenant-'.length))] ?? 1;
-  const turns = { gapMs: () => GAP_MS, weightOf };
-  const inTurns = parts(play(new WaitingList(() => 0, new Set(), turns)));
-  t.log(`by deadline: least ${byDeadline.leastOfOthers.toFixed(2)}, hot ${byDeadline.hot.toFixed(2)}`);
-  t.log(`in turns: least ${inTurns.leastOfOthers.toFixed(2)}, hot ${inTurns.hot.toFixed(2)}`);
-  t.true(inTurns.leastOfOthers > 0.9);
-  t.true(inTurns.leastOfOthers > byDeadline.leastOfOthers);
-  t.true(inTurns.hot > STARVED_SHARE * inTurns.all, 'nor is the one that jumped starved');
+  const turns = { gapMs: () => START_INTERVAL_MS, weightOf };
+  const inTurns = servedShares(simulate(new WaitingList(() => 0, new Set(), turns)));
+  t.log(`by deadline: least ${byDeadline.minOfOthers.toFixed(2)}, hot ${byDeadline.surging.toFixed(2)}`);
+  t.log(`in turns: least ${inTurns.minOfOthers.toFixed(2)}, hot ${inTurns.surging.toFixed(2)}`);
+  t.true(inTurns.minOfOthers > 0.9);
+  t.true(inTurns.minOfOthers > byDeadline.minOfOthers);
+  t.true(inTurns.surging > STARVED_SHARE * inTurns.all, 'nor is the one that jumped starved');
 });
