--- a/packages/slots/src/adapter-loader.ts
+++ b/packages/slots/src/adapter-loader.ts
@@ -11,26 +11,28 @@
   readonly clock: Clock;
   readonly timing: SlotTiming;
   readonly memory: AdapterMemory;
+  /** The published version of an adapter, 0 if none was published. */
   readonly adapterVersion: (model: string, adapter: string) => number;
-  /** Calls back after a time, unless the pool was closed meanwhile. */
+  /** Calls back after a delay, unless the pool is closed by then. */
   readonly after: (delayMs: number, action: () => void) => void;
-  /** Slots changed, so waiting requests may be served. */
+  /** Called when slots changed, so that waiting requests may be served now. */
   readonly onChange: () => void;
-  /** Adapters that are on their way from the weight store to any engine. */
-  readonly fetchesUnderWay: () => number;
+  /** Number of adapters that engines are fetching from the weight store. */
+  readonly fetchesInProgress: () => number;
 }
 
-/** A first use up to this many guesses after the order tells whether the guess was long enough. */
+/** Only a first use within this multiple of the estimated load time tells whether the estimate was long enough. */
 const EARLY_USE_FACTOR = 1.2;
+/** How soon an adapter that was not loaded in time is tried again. */
 const RETRY_PRESENCE_MS = 50;
-/** An adapter that a report shows on its way is tried after this time. */
+/** An adapter that a report shows as loading is assumed loaded after this time. */
 const ADOPTED_ARRIVAL_MS = 150;
-/** An adapter that is missing so long after its load was lost by the engine. */
+/** An adapter that is missing this long after its load was ordered has been lost by the engine. */
 const LOST_ADAPTER_MS = 2500;
 
 /**
- * Brings adapters into slots and takes others out. Engines do not tell when a load is done, so arrivals are
- * guessed, and corrected when a request finds its adapter missing.
+ * Loads adapters into slots and evicts others. Engines do not announce when a load is done, so its end is estimated, and
+ * the estimate is corrected when a request finds its adapter missing.
  */
 export class AdapterLoader {
   readonly #options: AdapterLoaderOptions;
@@ -45,27 +47,27 @@
     this.#fetchWindow = new FetchWindow(options.clock, options.timing.coldLoadMs);
   }
 
-  /** Present guess of how long a fetch from the weight store takes, in milliseconds. */
+  /** Current estimate of how long a fetch from the weight store takes, in milliseconds. */
   get coldLoadMs(): number {
     return this.#coldEstimate.estimateMs;
   }
 
-  /** The same for a load from the engine's own memory. */
+  /** Current estimate of how long a load from the engine's host memory takes, in milliseconds. */
   get warmLoadMs(): number {
     return this.#warmEstimate.estimateMs;
   }
 
-  /** So many engines are listed. */
+  /** Sets the number of listed engines. */
   setEngineCount(count: number): void {
     this.#fetchWindow.setEngineCount(count);
   }
 
-  /** Fetches from the weight store that may be under way at the same time. */
+  /** Maximum number of concurrent fetches from the weight store. */
   get fetchWindow(): number {
     return this.#fetchWindow.size;
   }
 
-  /** Loads an adapter, in place of another one if need be. Its slot is taken from the first moment on. */
+  /** Loads an adapter, after evicting another one if necessary. Its slot is reserved before the first order is sent. */
   async load(entry: EngineEntry, placement: LoadPlacement, model: string, adapter: string): Promise<void> {
     const { slots, lease } = entry;
     const { victim, warm } = placement;
@@ -78,7 +80,7 @@
       return;
     }
     const slot = reserved ?? slots.reserve(model, adapter, 0, warm, clock.now());
-    // A report that was read meanwhile may have changed what is here.
+    // A report read in the meantime may have changed the engine's slots.
     if (slots.get(slot.key) !== slot || !slots.isWithinLimits()) {
       slots.removeIfSame(slot);
       this.#options.onChange();
@@ -98,7 +100,7 @@
     }
   }
 
-  /** Unloads an adapter. Returns whether it is gone. */
+  /** Unloads an adapter. Returns whether it was unloaded. */
   async #unload(entry: EngineEntry, victim: AdapterSlot): Promise<boolean> {
     const { slots, lease } = entry;
     const reply = await lease.order({ action: 'unload', model: victim.model, adapter: victim.adapter });
@@ -107,24 +109,24 @@
       return true;
     }
     if (reply.kind === 'not-held') victim.state = 'loaded';
-    // Still in use, or its fate is unknown: it takes its slot until a report shows otherwise.
+    // It is still in use or its state is unknown, so it occupies its slot until a report shows otherwise.
     else lease.settle();
     return false;
   }
 
-  /** A request ran on the adapter, so it was there in time. */
+  /** Called when a request ran on the adapter, which shows that it was loaded in time. */
   recordServed(slot: AdapterSlot): void {
     slot.confirmed = true;
     if (slot.orderedMs === 0) return;
     const estimate = slot.warm ? this.#warmEstimate : this.#coldEstimate;
     const tookMs = slot.firstUsedMs - slot.orderedMs;
-    if (!slot.warm) this.#fetchWindow.recordArrival(tookMs, this.#options.fetchesUnderWay());
-    // A request that came long after the load tells nothing of how long the guess has to be.
+    if (!slot.warm) this.#fetchWindow.recordArrival(tookMs, this.#options.fetchesInProgress());
+    // A first use long after the load says nothing about how long the load took.
     if (tookMs <= estimate.estimateMs * EARLY_USE_FACTOR) estimate.decrease();
     slot.orderedMs = 0;
   }
 
-  /** The engine did not have what it was thought to have: too early, or it lost it. */
+  /** Called when a request found its adapter missing: either it is not loaded yet, or the engine lost it. */
   handleMissing(entry: EngineEntry, slot: AdapterSlot): void {
     const nowMs = this.#options.clock.now();
     if (entry.slots.get(slot.key) !== slot || slot.state !== 'loaded') return;
@@ -135,10 +137,10 @@
       return;
     }
     slot.state = 'loading';
-    // The next use is the first that may find it.
+    // The next use counts as the first one after the load.
     slot.firstUsedMs = 0;
     if (slot.warm) {
-      // It was not in the engine's memory after all, and is being fetched.
+      // It was not in the engine's host memory after all and is being fetched from the weight store.
       slot.warm = false;
       const leftMs = slot.orderedMs + this.#coldEstimate.estimateMs - nowMs;
       this.#options.after(Math.max(leftMs, RETRY_PRESENCE_MS), () => this.#markLoaded(slot));
@@ -146,11 +148,11 @@
     }
     this.#coldEstimate.increase();
     const fetch = `${entry.slots.backend.id}/${slot.key}`;
-    this.#fetchWindow.recordMissing(fetch, nowMs - slot.orderedMs, this.#options.fetchesUnderWay());
+    this.#fetchWindow.recordMissing(fetch, nowMs - slot.orderedMs, this.#options.fetchesInProgress());
     this.#options.after(RETRY_PRESENCE_MS, () => this.#markLoaded(slot));
   }
 
-  /** Adapters that a report shows on their way arrive without an order from here. */
+  /** Marks adapters that a report shows as loading as loaded after a while, since no order of this node does it. */
   awaitPending(slots: EngineSlots): void {
     for (const slot of slots.slots.values()) {
       if (slot.state === 'loading') this.#options.after(ADOPTED_ARRIVAL_MS, () => this.#markLoaded(slot));
--- a/packages/slots/src/adapter-memory.ts
+++ b/packages/slots/src/adapter-memory.ts
@@ -1,18 +1,18 @@
 import { adapterKey, type BackendDescription } from '@canvasridge/serving';
 import { LRUCache } from 'lru-cache';
 
-/** Adapters that an engine keeps in its host memory, the loaded ones included: a little less than engines are known to keep. */
+/** Adapters assumed in an engine's host memory, including loaded ones; slightly fewer than engines are known to keep. */
 const CAPACITY = 34;
 
 /**
- * Which adapters each engine likely has in its host memory, from where they load about ten times as fast as
- * from the weight store. Engines do not tell; it is concluded from what was seen loaded on them, on every
- * node, so that a new leader knows most of it.
+ * Tracks which adapters each engine likely has in its host memory, from where they load about ten times as fast as from
+ * the weight store. Engines do not report this. It is inferred from the adapters seen loaded on them, on every node, so
+ * that a new leader already knows most of it.
  */
 export class AdapterMemory {
   readonly #cached = new Map<string, LRUCache<string, true>>();
 
-  /** Notes what the published list shows, and forgets engines that are gone. */
+  /** Records the loaded adapters in the published list and drops engines that are no longer listed. */
   observe(backends: Iterable<BackendDescription>): void {
     const listed = new Set<string>();
     for (const backend of backends) {
@@ -24,7 +24,7 @@
     for (const id of [...this.#cached.keys()]) if (!listed.has(id)) this.#cached.delete(id);
   }
 
-  /** An adapter is loaded or used on an engine. */
+  /** Records that an adapter was loaded or used on an engine. */
   note(engineId: string, key: string): void {
     let kept = this.#cached.get(engineId);
     if (kept === undefined) {
@@ -34,6 +34,7 @@
     kept.set(key, true);
   }
 
+  /** Whether the engine likely has the adapter in its host memory. */
   has(engineId: string, key: string): boolean {
     return this.#cached.get(engineId)?.has(key) ?? false;
   }
--- a/packages/slots/src/adapter-popularity.ts
+++ b/packages/slots/src/adapter-popularity.ts
@@ -1,7 +1,9 @@
 import type { Clock } from '@canvasridge/clock';
 
 const HALF_LIFE_MS = 8000;
+/** Adapters with a lower rate are removed when entries are pruned. */
 const PRUNE_BELOW_RATE = 0.01;
+/** Number of entries above which a new one triggers pruning. */
 const PRUNE_ABOVE_SIZE = 4096;
 
 interface Entry {
@@ -9,7 +11,7 @@
   atMs: number;
 }
 
-/** How often each adapter is asked for: requests, of which each counts half as much after some seconds. */
+/** Counts the recent requests for each adapter, with exponential decay. */
 export class AdapterPopularity {
   readonly #clock: Clock;
   readonly #rates = new Map<string, Entry>();
@@ -18,6 +20,7 @@
     this.#clock = clock;
   }
 
+  /** Records a request for an adapter. */
   recordRequest(key: string): void {
     const nowMs = this.#clock.now();
     const entry = this.#rates.get(key);
@@ -30,6 +33,7 @@
     entry.atMs = nowMs;
   }
 
+  /** The decayed number of requests for an adapter. */
   rate(key: string): number {
     const entry = this.#rates.get(key);
     return entry === undefined ? 0 : decayed(entry, this.#clock.now());
--- a/packages/slots/src/engine-control.ts
+++ b/packages/slots/src/engine-control.ts
@@ -1,41 +1,47 @@
 import type { BackendDescription, BackendNotice, HeldModel } from '@canvasridge/serving';
 
-/** An adapter that is on its way to an engine. */
+/** An adapter that an engine is loading. */
 export interface PendingAdapter {
   readonly model: string;
   readonly adapter: string;
-  /** 0 if it is not told. */
+  /** 0 if the engine does not report it. */
   readonly version: number;
 }
 
-/** What an engine says of itself when asked; some hundred milliseconds old. */
+/** An engine's description of its own state, a few hundred milliseconds old. */
 export interface EngineReport {
-  /** Orders taken since the engine started. */
+  /** Orders counted since the engine started. */
   readonly orderCount: number;
   /** A model is being loaded or unloaded. */
   readonly busy: boolean;
+  /** Loaded models with their loaded adapters. */
   readonly models: readonly HeldModel[];
   readonly pending: readonly PendingAdapter[];
 }
 
-/** What an order is about: a whole model, or one adapter of it. */
+/** The model or adapter to load or unload. */
 export interface OrderSubject {
   readonly action: 'load' | 'unload';
   readonly model: string;
+  /** Undefined for the base model itself. */
   readonly adapter: string | undefined;
 }
 
+/** A load or unload command to an engine. */
 export interface EngineOrder extends OrderSubject {
-  /** The engine takes the order only if it has taken this many before. */
+  /** The engine accepts the order only if its order count has this value. */
   readonly expectedCount: number;
+  /** Name of the node that gives the order. */
   readonly holder: string;
+  /** Fencing token: engines that check fences reject an order with a lower one than they have seen. */
   readonly fence: number;
 }
 
 /**
- * Answer to an order: `accepted` is being carried out, `done` was carried out at once or held already,
- * `conflict` was not taken since the count differs or another order is under way, `fenced` was not taken since
- * another holder used a higher fence, `unknown` may have been taken.
+ * Answer to an order. `accepted`: being carried out. `done`: carried out at once, or there was nothing to do.
+ * `conflict`: not accepted because the count differs or another order is in progress. `fenced`: not accepted because
+ * another holder has used a higher fence. `other-instance`: not accepted because the engine was restarted, or another one
+ * runs at its address. `rejected`: refused as invalid. `unknown`: may or may not have been carried out.
  */
 export type OrderReply =
   | { readonly kind: 'accepted' }
@@ -46,16 +52,16 @@
   | { readonly kind: 'rejected'; readonly detail: string }
   | { readonly kind: 'unknown'; readonly detail: string };
 
-/** An order is on its way for so long at the most, in milliseconds: one that is not answered by then never arrives. */
+/** Longest time an order can be in flight, in milliseconds. An order not answered by then never arrives. */
 export const ORDER_TIMEOUT_MS = 600;
 
 export type NoticeListener = (backendId: string, notice: BackendNotice) => void;
 
-/** Calls to engines. None of them rejects. */
+/** Control calls to engines. The returned promises never reject. */
 export interface EngineControl {
-  /** Calls back with what engines say of themselves in answers to orders and reports. */
+  /** Registers a listener for notices that engines attach to their answers. */
   onNotice(listener: NoticeListener): void;
-  /** Undefined when the engine gave no usable answer. */
+  /** Resolves to undefined if the engine gave no usable answer. */
   report(backend: BackendDescription): Promise<EngineReport | undefined>;
   order(backend: BackendDescription, order: EngineOrder): Promise<OrderReply>;
 }
--- a/packages/slots/src/engine-rate.ts
+++ b/packages/slots/src/engine-rate.ts
@@ -1,7 +1,7 @@
 import { UnitBucket, type QuotaRule } from '@canvasridge/admission';
 import type { Clock } from '@canvasridge/clock';
 
-/** The requests a second that an engine takes from all nodes together, for as long as it names such a limit. */
+/** Enforces the limit on requests per second that an engine may state for all nodes together. */
 export class EngineRate {
   readonly #clock: Clock;
   #bucket: UnitBucket;
@@ -13,19 +13,19 @@
     this.#bucket = new UnitBucket(clock, 0);
   }
 
-  /** Undefined while the engine names no limit. */
+  /** The engine's limit; undefined while it states none. */
   get rule(): QuotaRule | undefined {
     return this.#rule;
   }
 
-  /** A limit that is new here has no units yet: whoever granted before may have used them. */
+  /** A newly set limit starts with an empty bucket, because another node may just have used up its burst. */
   set rule(rule: QuotaRule | undefined) {
     if (this.#rule === undefined && rule !== undefined) this.#bucket = new UnitBucket(this.#clock, 0);
     this.#hasEnded = rule === undefined && (this.#hasEnded || this.#rule !== undefined);
     this.#rule = rule;
   }
 
-  /** Whether the engine named a limit before and names none now. */
+  /** Whether the engine stated a limit before and states none now. */
   get hasEnded(): boolean {
     return this.#hasEnded;
   }
@@ -35,7 +35,7 @@
     return this.#rule === undefined || this.#bucket.available(this.#rule) >= 1;
   }
 
-  /** A request was granted. */
+  /** Counts a granted request against the limit. */
   take(): void {
     if (this.#rule !== undefined) this.#bucket.take(1, this.#rule);
   }
--- a/packages/slots/src/engine-registry.ts
+++ b/packages/slots/src/engine-registry.ts
@@ -8,26 +8,26 @@
 import { newPoolSpeed, type PrefillSpeed } from './prefill-speed.js';
 import type { SlotRequest } from './slot-request.js';
 
-/** How long an engine that left the list is remembered. */
+/** How long an engine is kept after it left the published list. */
 const UNLISTED_RETENTION_MS = 8000;
 
 export interface EngineRegistryOptions {
   readonly clock: Clock;
-  /** What the leases of all engines share. */
+  /** Options that the order leases of all engines share. */
   readonly lease: Omit<OrderLeaseOptions, 'backend' | 'onReport'>;
-  /** Calls back after a time, unless the pool was closed meanwhile. */
+  /** Calls back after a delay, unless the pool is closed by then. */
   readonly after: (delayMs: number, action: () => void) => void;
-  /** Whether engines' reading speeds are learnt. */
+  /** Whether prefill speeds are learnt from observations. */
   readonly learnsSpeed: boolean;
-  /** A report of an engine was taken over. */
+  /** Called after an engine's state was updated from a report. */
   readonly onAdopted: (slots: EngineSlots) => void;
 }
 
-/** The engines of a pool, as the published list shows them. */
+/** The engines of a pool, kept in line with the published list. */
 export class EngineRegistry {
   readonly #options: EngineRegistryOptions;
   readonly #engines = new Map<string, EngineEntry>();
-  /** How fast the engines read prompts, all of them together. */
+  /** Prefill speed over all engines of the pool. */
   readonly poolSpeed: PrefillSpeed;
 
   constructor(options: EngineRegistryOptions) {
@@ -35,11 +35,12 @@
     this.poolSpeed = newPoolSpeed(options.learnsSpeed);
   }
 
-  /** All engines, those included that left the list a short while ago. */
+  /** All engines, including those that left the published list recently. */
   all(): Iterable<EngineEntry> {
     return this.#engines.values();
   }
 
+  /** The engines on the published list. */
   listed(): EngineEntry[] {
     return [...this.#engines.values()].filter((entry) => entry.unlistedSinceMs === undefined);
   }
@@ -48,24 +49,24 @@
     return this.#engines.get(id);
   }
 
-  /** Whether an engine may be given the request. */
+  /** Whether the engine is ready and not excluded for this request. */
   mayServe(entry: EngineEntry, request: SlotRequest): boolean {
     return isReady(entry) && !request.excluded.includes(entry.slots.backend.id);
   }
 
-  /** Whether any engine that takes requests holds the model, those included that the request must not be given to. */
+  /** Whether any ready engine holds the model, regardless of which engines a request excludes. */
   serves(model: string): boolean {
     return this.#some(model, isReady);
   }
 
-  /** Whether an engine that may be given the request holds its model. */
+  /** Whether any engine that may serve the request holds its model. */
   servesRequest(request: SlotRequest): boolean {
     return this.#some(request.model, (entry) => this.mayServe(entry, request));
   }
 
   /**
-   * Requests a second that the engines which may be given the request and hold its model take together; undefined unless all of
-   * them name a limit.
+   * Sum of the rate limits, in requests per second, of the engines that may serve the request and hold its model.
+   * Undefined unless all of them state a limit.
    */
   ratePerSecond(request: SlotRequest): number | undefined {
     let sum: number | undefined;
@@ -84,13 +85,13 @@
     return false;
   }
 
-  /** How long until loads can be ordered on any engine; 0 while no engine is listed. */
+  /** Time until orders can be given to at least one engine, in milliseconds; 0 if no engine is listed. */
   untilOrdersPossibleMs(): number {
     const untilMs = Math.min(...this.listed().map(({ lease }) => lease.untilHeldMs));
     return Number.isFinite(untilMs) ? untilMs : 0;
   }
 
-  /** Takes over the published list. */
+  /** Updates the engines to the published list. */
   update(backends: readonly BackendDescription[], profile: EngineProfile): void {
     const listed = new Set(backends.map((backend) => backend.id));
     for (const [id, entry] of this.#engines) {
@@ -112,8 +113,8 @@
   }
 
   /**
-   * Keeps an engine that is not listed any more for a while, without giving it work: entries also lapse while
-   * the publishing store is away, and the right to order would have to be observed anew when they are back.
+   * Keeps an engine that is no longer listed for a while, without giving it requests. Entries also expire while the
+   * publishing store is unavailable, and dropping the engine would mean observing its order lease anew when it is back.
    */
   #unlist(id: string, entry: EngineEntry): void {
     const sinceMs = this.#options.clock.now();
--- a/packages/slots/src/engine-selector.ts
+++ b/packages/slots/src/engine-selector.ts
@@ -5,19 +5,22 @@
 import type { PoolIndex } from './pool-index.js';
 import type { SlotRequest } from './slot-request.js';
 
-/** Part of an engine's batch beyond which it takes more only when no other engine gets the adapter: its memory fills up. */
+/**
+ * Fraction of an engine's batch above which a load of the adapter on another engine is tried first, because the engine's
+ * memory fills up.
+ */
 const CROWDED_BATCH_SHARE = 0.45;
-/** What a request that runs on an engine counts beside the prompts ahead, in ms: it takes a part of each step. */
+/** Cost of each running request on an engine in addition to its backlog, in ms, as each takes a part of every decode step. */
 export const RUNNING_COST_MS = 8;
-/** The same for an engine that failed a moment ago. */
+/** Additional cost of an engine that failed a request recently, in ms. */
 const AVOIDED_COST_MS = 500;
-/** Time after which an adapter of an older version serves no new requests. */
+/** How long an adapter may still get new requests after a newer version was published. */
 const OUTDATED_GRACE_MS = 1500;
 
-/** The version of an adapter that was published, 0 if none was. */
+/** Returns the published version of an adapter, 0 if none was published. */
 export type PublishedVersion = (model: string, adapter: string) => number;
 
-/** Chooses among the engines that can run a request now. */
+/** Selects the engine that runs a request. */
 export class EngineSelector {
   readonly #engines: EngineRegistry;
   readonly #publishedVersion: PublishedVersion;
@@ -27,7 +30,7 @@
     this.#publishedVersion = publishedVersion;
   }
 
-  /** The least busy engine that has what the request needs. */
+  /** Returns the engine with the lowest cost that has the request's model or adapter and room within its rate limit. */
   best(request: SlotRequest, index: PoolIndex, nowMs: number): EngineEntry | undefined {
     let best: EngineEntry | undefined;
     for (const entry of this.#candidates(request, index)) {
@@ -38,7 +41,7 @@
     return best;
   }
 
-  /** Whether the adapter is on its way to an engine that may run the request. */
+  /** Whether the request's adapter is being loaded on an engine that the request does not exclude. */
   isLoading(request: SlotRequest, index: PoolIndex): boolean {
     if (request.adapter === undefined) return false;
     const key = adapterKey(request.model, request.adapter);
@@ -49,7 +52,7 @@
       );
   }
 
-  /** Whether an engine that could run the request takes no more at present. */
+  /** Whether an engine that could run the request has reached its rate limit. */
   isRateLimited(request: SlotRequest, index: PoolIndex): boolean {
     for (const entry of this.#candidates(request, index)) {
       if (!entry.rate.hasRoom && this.#engines.mayServe(entry, request)) return true;
@@ -57,7 +60,7 @@
     return false;
   }
 
-  /** Whether an engine has an adapter that is still good, so that another load there adds nothing. */
+  /** Whether an engine has the published version of the adapter loaded, so that it need not be loaded there again. */
   hasCurrentAdapter(entry: EngineEntry, key: string): boolean {
     const slot = entry.slots.get(key);
     return slot?.state === 'loaded' && this.#isCurrent(slot);
@@ -75,7 +78,10 @@
     return slot !== undefined && this.#isUsable(slot, nowMs);
   }
 
-  /** An adapter whose version was overtaken serves on for a short while, until a newer one is loaded. */
+  /**
+   * Whether an adapter may get new requests. One of an outdated version still may for a short time while it is in use,
+   * until the newer version is loaded.
+   */
   #isUsable(slot: AdapterSlot, nowMs: number): boolean {
     if (slot.state !== 'loaded') return false;
     if (this.#isCurrent(slot)) return true;
@@ -88,14 +94,14 @@
   }
 }
 
-/** How long an engine is busy with the prompts before a new one; a full engine counts as busy for ever. */
+/** Estimated time until an engine starts on a new prompt. Infinity if its batch is full. */
 export function startDelayMs(entry: EngineEntry, nowMs: number): number {
   const { slots } = entry;
   if (slots.running >= slots.backend.slots) return Infinity;
   return slots.backlog.remainingMs(nowMs);
 }
 
-/** Whether an engine runs so many requests that others should be preferred. */
+/** Whether an engine runs so many requests that another engine should be preferred. */
 export function isCrowded({ slots }: EngineEntry): boolean {
   return slots.running >= slots.backend.slots * CROWDED_BATCH_SHARE;
 }
--- a/packages/slots/src/engine-slots.ts
+++ b/packages/slots/src/engine-slots.ts
@@ -3,55 +3,60 @@
 import { PromptBacklog } from './prompt-backlog.js';
 import type { PrefillSpeed } from './prefill-speed.js';
 
-/** `unloading` includes adapters whose fate is not known; they take a slot until a report shows otherwise. */
+/** `unloading` includes adapters in an unknown state, which occupy a slot until a report shows otherwise. */
 export type SlotState = 'loading' | 'loaded' | 'unloading';
 
-/** One adapter on one engine. */
+/** An adapter slot of an engine, occupied by one adapter. */
 export interface AdapterSlot {
   readonly key: string;
   readonly model: string;
   readonly adapter: string;
   version: number;
   state: SlotState;
-  /** Requests that were sent to use it and have not ended. */
+  /** Number of running requests that use the adapter. */
   users: number;
   lastUsedMs: number;
-  /** When its load was ordered; 0 if it was found loaded. */
+  /** When its load was ordered; 0 if it was found loaded or the load's duration has been learnt from. */
   orderedMs: number;
-  /** When a request was first sent to use it since then; 0 if none was. */
+  /** When a request was first sent to use it after that; 0 if none was. */
   firstUsedMs: number;
-  /** Whether a request ran on it or a report showed it. An order about one still on its way may not count. */
+  /**
+   * Whether a request ran on it or a report showed it as loaded. Until then it may still be loading, and engines may not
+   * count orders for an adapter that is.
+   */
   confirmed: boolean;
-  /** Whether the engine was thought to have it in its memory when the load was ordered. */
+  /** Whether the engine was believed to have it in its host memory when the load was ordered. */
   warm: boolean;
   /** When the published version moved beyond this one; 0 while it has not. */
   outdatedSinceMs: number;
 }
 
-/** A load that was ordered so long ago has ended, whether a request ran on it or not. */
+/** A load ordered longer ago than this has certainly ended, even if nothing confirmed it. */
 const LOAD_SURELY_DONE_MS = 1200;
 
-/** What one node believes of the models, adapters and requests on one engine. */
+/** What this node believes about the models, adapters and requests on one engine. */
 export class EngineSlots {
   backend: BackendDescription;
   profile: EngineProfile;
+  /** Occupied adapter slots by adapter key. */
   readonly slots = new Map<string, AdapterSlot>();
+  /** Names of the loaded models. */
   readonly models = new Set<string>();
-  /** Requests sent here that have not ended. */
+  /** Number of requests running on the engine. */
   running = 0;
   /**
-   * A report showed an order under way, or a model was ordered here. It keeps an engine without a model from
-   * being asked for another; one that holds a model serves and loads adapters meanwhile.
+   * Whether a report showed a model load or unload in progress, or a model load was ordered. It keeps an engine without a
+   * model from being ordered to load another one. An engine that holds a model still serves and loads adapters.
    */
   busy = false;
-  /** No new requests before this time, after failures. */
+  /** Until when other engines are preferred, after a failure. */
   avoidUntilMs = 0;
-  /** No adapter gives way before this time, as it may be in use without this node knowing. */
+  /** No adapter is evicted before this time, because it may be in use without this node knowing. */
   evictAfterMs = 0;
 
   readonly backlog: PromptBacklog;
 
-  /** @param poolSpeed how fast the engines of the pool read prompts */
+  /** @param poolSpeed prefill speed over all engines of the pool */
   constructor(backend: BackendDescription, profile: EngineProfile, poolSpeed?: PrefillSpeed) {
     this.backlog = new PromptBacklog(poolSpeed);
     this.backend = backend;
@@ -59,7 +64,7 @@
     for (const model of backend.models) this.models.add(model.name);
   }
 
-  /** Takes over what a report shows. Users of adapters that stay are kept. */
+  /** Updates the state from a report. The user counts of adapters that are still there are kept. */
   adopt(report: EngineReport, nowMs: number): void {
     this.busy = report.busy;
     this.models.clear();
@@ -85,6 +90,7 @@
     return this.slots.get(key);
   }
 
+  /** Adds a slot for an adapter that is about to be loaded. */
   reserve(model: string, adapter: string, version: number, warm: boolean, nowMs: number): AdapterSlot {
     const key = adapterKey(model, adapter);
     const slot: AdapterSlot = {
@@ -105,12 +111,12 @@
     return slot;
   }
 
-  /** Removes a slot, unless another one has taken its place. */
+  /** Removes a slot, unless another one has replaced it under the same key. */
   removeIfSame(slot: AdapterSlot): void {
     if (this.slots.get(slot.key) === slot) this.slots.delete(slot.key);
   }
 
-  /** Whether all that is here or on its way fits, but for adapters about to be unloaded before a load. */
+  /** Whether all loaded and loading adapters fit the engine's limits. Adapters still being unloaded count as well. */
   isWithinLimits(): boolean {
     return this.slots.size <= this.profile.adapterSlots && this.usedMb() <= this.profile.memoryMb;
   }
@@ -121,18 +127,19 @@
     return count;
   }
 
-  /** Whether an adapter may give way now. */
+  /** Whether an adapter may be evicted now. */
   isEvictable(slot: AdapterSlot, nowMs: number): boolean {
     if (slot.users > 0 || slot.state !== 'loaded' || nowMs < this.evictAfterMs) return false;
     return slot.confirmed || nowMs - slot.orderedMs > LOAD_SURELY_DONE_MS;
   }
 
-  /** Whether one more adapter fits beside those that are here or on their way. */
+  /** Whether one more adapter of the model fits beside the present ones, including those still loading or unloading. */
   hasRoomFor(model: string): boolean {
     if (this.slots.size >= this.profile.adapterSlots) return false;
     return this.usedMb() + this.#adapterMb(model) <= this.profile.memoryMb;
   }
 
+  /** Memory used by models and adapters, including adapters still loading or unloading. */
   usedMb(): number {
     let used = 0;
     for (const model of this.profile.models) if (this.models.has(model.name)) used += model.sizeMb;
@@ -161,7 +168,7 @@
       return;
     }
     if (state === 'loaded') known.confirmed = true;
-    // A report may be older than the requests that ran on it since.
+    // The report may be older than a request that has since run on the adapter, which proves that it is loaded.
     if (state === 'loaded' || !known.confirmed) known.state = state;
     if (version > 0) known.version = version;
   }
--- a/packages/slots/src/engine-uses.ts
+++ b/packages/slots/src/engine-uses.ts
@@ -4,14 +4,14 @@
 import type { AdapterSlot } from './engine-slots.js';
 import type { SlotTurnover } from './slot-turnover.js';
 
-/** A request that was sent to an engine and has not ended. */
+/** A running request on an engine. */
 export interface EngineUse {
   readonly engineId: string;
   /** Undefined for a request to the base model. */
   readonly slot: AdapterSlot | undefined;
 }
 
-/** The requests that run on the engines of a pool, and what they mean for slots and engines. */
+/** Tracks the running requests of a pool and updates the counters of their engines and adapter slots. */
 export class EngineUses {
   readonly #clock: Clock;
   readonly #memory: AdapterMemory;
@@ -32,7 +32,7 @@
     return this.#uses.get(requestId);
   }
 
-  /** Counts a request that runs on an engine from now on. */
+  /** Records that a request starts to run on an engine. */
   begin(requestId: string, engine: EngineEntry, slot: AdapterSlot | undefined): void {
     const engineId = engine.slots.backend.id;
     engine.slots.running += 1;
@@ -45,7 +45,7 @@
     this.#memory.note(engineId, slot.key);
   }
 
-  /** A request has ended. Undefined if it was not known; otherwise its engine, if that is still there, is told. */
+  /** Records that a request has ended and returns its use, or undefined if the request is unknown. */
   end(requestId: string, engineOf: (id: string) => EngineEntry | undefined): EngineUse | undefined {
     const use = this.#uses.get(requestId);
     if (use === undefined) return undefined;
--- a/packages/slots/src/index.ts
+++ b/packages/slots/src/index.ts
@@ -1,4 +1,4 @@
-/** Adapter slots of model engines: who may give orders, and which request gets which slot. */
+/** Manages the adapter slots of model engines: which node may give orders to engines, and which request gets which slot. */
 export {
   ORDER_TIMEOUT_MS,
   type EngineControl,
--- a/packages/slots/src/load-placement.ts
+++ b/packages/slots/src/load-placement.ts
@@ -4,47 +4,51 @@
 import type { SwitchedOff } from './mechanisms.js';
 import type { AdapterSlot, EngineSlots } from './engine-slots.js';
 
-/** An engine that may load an adapter now, and the adapter that has to make way for it, if any. */
+/** The engine on which to load an adapter. */
 export interface LoadPlacement {
   readonly slots: EngineSlots;
+  /** The adapter to evict first, if any. */
   readonly victim: AdapterSlot | undefined;
-  /** Whether the engine likely has the adapter in its memory. */
+  /** Whether the engine likely has the adapter in its host memory. */
   readonly warm: boolean;
 }
 
-/** The request for which an adapter is to be loaded, and what is expected of loads now. */
+/** A request to load an adapter for a waiting request, with the current load estimates. */
 export interface LoadRequest {
   readonly model: string;
   readonly key: string;
   readonly nowMs: number;
+  /** Age of the waiting request. */
   readonly ageMs: number;
-  /** Age at which the request has to be sent to an engine that is free, to meet its objective. */
+  /** Age at which the waiting request has to be sent to an idle engine at the latest to meet its objective. */
   readonly latestStartAgeMs: number;
-  /** Time after which the request could start on an engine that has the adapter; Infinity if none has it. */
+  /** Time until the waiting request could start on an engine that has the adapter; Infinity if there is none. */
   readonly maxStartDelayMs: number;
-  /** Whether an engine likely has the adapter in memory. */
+  /** Whether an engine likely has the adapter in its host memory. */
   readonly hasWarmEngine: boolean;
-  /** Whether the weight store has room for one more fetch. */
+  /** Whether one more fetch from the weight store may start. */
   readonly mayFetch: boolean;
-  /** Whether so many slots are idle that a fetch for a late request takes none from others. */
+  /** Whether enough slots are spare that a fetch for a late request takes no slot from others. */
   readonly hasSpare: boolean;
   readonly coldLoadMs: number;
   readonly warmLoadMs: number;
   readonly disabled: SwitchedOff;
 }
 
-/** Part of the time within which it has to start for which a request waits for an engine that has its adapter in memory. */
+/** Fraction of its latest start age for which a request waits for an engine that has its adapter in host memory. */
 const WARM_WAIT_SHARE = 0.5;
-/** What is added to the cost of a place for each load under way there, in ms. */
+/** Cost of each load in progress on the engine, in ms. */
 const LOADING_COST_MS = 40;
+/** Cost of evicting an adapter, in ms per unit of its request rate. */
 const EVICTION_COST_MS = 25;
-/** What is added for each ms of reading that the engine was given of late: where much was sent, more will come. */
+/** Cost per ms of prefill recently sent to the engine: engines that got much work will likely get more. */
 const RECENT_WORK_COST = 0.15;
 
 /**
- * Chooses where an adapter is loaded. An engine that likely has it in memory is best; a fetch from the weight
- * store is dear, so it is made only if no engine has the adapter, or if none of those gets a free slot in
- * time, and only if it still helps the request to meet its objective.
+ * Selects the engine with the lowest cost to load an adapter on, or undefined. An engine that likely has the adapter in
+ * host memory is best. A fetch from the weight store is expensive, so it is made only if no engine has the adapter in host
+ * memory or none of those gets a free slot in time, and only if the request can then still meet its objective or enough
+ * slots are spare.
  */
 export function placeLoad(
   candidates: readonly EngineSlots[],
@@ -75,7 +79,7 @@
   return !request.hasWarmEngine || request.ageMs >= request.latestStartAgeMs * WARM_WAIT_SHARE;
 }
 
-/** A free slot, or the idle adapter that gives way. Undefined if there is neither. */
+/** Finds a free slot or an adapter to evict. Returns undefined if there is neither. */
 function findRoom(
   slots: EngineSlots,
   request: LoadRequest,
@@ -88,6 +92,7 @@
   return { victim };
 }
 
+/** Returns the evictable adapter with the lowest request rate; among equals, the least recently used one. */
 function leastDemanded(
   slots: EngineSlots,
   popularity: AdapterPopularity,
@@ -106,6 +111,7 @@
   return best;
 }
 
+/** Estimated time until a request could start after a load on this engine, plus penalties for side effects, in ms. */
 function costOf(
   slots: EngineSlots,
   victim: AdapterSlot | undefined,
@@ -116,7 +122,7 @@
   const loadMs = warm ? request.warmLoadMs : request.coldLoadMs;
   const evictionMs = victim === undefined ? 0 : Math.min(popularity.rate(victim.key), 4) * EVICTION_COST_MS;
   const busyMs = RUNNING_COST_MS * slots.running + LOADING_COST_MS * slots.loadingCount;
-  // The engine reads the prompts ahead while it loads.
+  // The engine processes its queued prompts while it loads the adapter, so the two times overlap.
   const recentMs = request.disabled.has('recent-work')
     ? 0
     : RECENT_WORK_COST * slots.backlog.recentWorkMs(request.nowMs);
--- a/packages/slots/src/load-starter.ts
+++ b/packages/slots/src/load-starter.ts
@@ -12,7 +12,7 @@
 import type { SlotRequest } from './slot-request.js';
 import type { WaitingList, WaitingRequest, WaitObstacle } from './waiting-list.js';
 
-/** Part of all adapter slots from which idle ones count as spare: what they are used for takes none from others. */
+/** If at least this fraction of all adapter slots is spare, using one takes no slot from other requests. */
 export const SPARE_SHARE = 0.25;
 
 export interface LoadStarterOptions {
@@ -23,12 +23,12 @@
   readonly memory: AdapterMemory;
   readonly adapterPopularity: AdapterPopularity;
   readonly waiting: WaitingList;
-  /** Whether an engine turned this node away and wants nothing from it, orders included, for a while. */
+  /** Whether an engine told this node to back off for a while, which includes orders. */
   readonly isBackingOff: (backendId: string) => boolean;
   readonly disabled: SwitchedOff;
 }
 
-/** Orders loads of adapters for requests that wait, where an engine can take one and it is worth it. */
+/** Orders loads of adapters for waiting requests if an engine can load one and the load is worthwhile. */
 export class LoadStarter {
   readonly #options: LoadStarterOptions;
 
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Orders the load of a request's adapter, if an engine can take it. Returns what the request waits for now.
-   * @param aheadMs the shortest backlog of an engine that has the adapter: a copy must be quicker
+   * Orders the load of a request's adapter if possible. Returns what the request waits for now.
+   * @param aheadMs shortest backlog of the engines that have the adapter; a load must be quicker than that
    */
   start(waiting: WaitingRequest, index: PoolIndex, aheadMs: number): WaitObstacle {
     const { engines, adapters, memory, adapterPopularity: popularity } = this.#options;
@@ -83,7 +83,7 @@
     };
   }
 
-  /** Whether an engine that can be given orders likely has the adapter in its memory. */
+  /** Whether an engine that this node may give orders to likely has the adapter in its host memory. */
   #hasWarmEngine(request: SlotRequest, key: string): boolean {
     const { engines, memory, disabled } = this.#options;
     if (disabled.has('adapter-memory')) return false;
@@ -104,7 +104,10 @@
   }
 }
 
-/** An adapter on an engine that names a limit is of little use there: such engines come last, and none without room for a request. */
+/**
+ * Returns the engines without a rate limit, because an adapter is of little use on a rate-limited one. If there are none,
+ * returns the rate-limited engines that have room for a request.
+ */
 function preferUnlimited(eligible: readonly EngineEntry[]): readonly EngineEntry[] {
   const unlimited = eligible.filter(({ rate }) => rate.rule === undefined);
   return unlimited.length > 0 ? unlimited : eligible.filter(({ rate }) => rate.hasRoom);
--- a/packages/slots/src/load-time-estimate.ts
+++ b/packages/slots/src/load-time-estimate.ts
@@ -1,19 +1,21 @@
 import type { Clock } from '@canvasridge/clock';
 
 /**
- * Factors by which a guess grows when an adapter was not there yet, and shrinks when it was: about one load in 26 is
- * tried too early, which costs each request that waits for it a refusal and a retry of the fleet's budget.
+ * The estimate is multiplied by one of these when an adapter was not loaded yet, or was. At equilibrium about one load in
+ * 26 is tried too early, which costs each request that waits for it a refusal by the engine and a retry from the fleet's
+ * retry budget.
  */
 const GROWTH_FACTOR = 1.08;
 const SHRINK_FACTOR = 0.997;
+/** Bounds of the estimate, relative to its initial value. */
 const MAX_FACTOR = 5;
 const MIN_FACTOR = 0.2;
-/** Failures within this time come from one cause and count once. */
+/** Failures within this time have a common cause and count once. */
 const ONE_CAUSE_MS = 150;
 
 /**
- * Guess of how long a load takes, learnt from requests that found the adapter missing: reports of engines
- * are too old to tell within one load.
+ * Estimates how long a load takes, learnt from whether requests found the adapter present. Engine reports lag too much to
+ * show when a load ends.
  */
 export class LoadTimeEstimate {
   readonly #clock: Clock;
@@ -31,6 +33,7 @@
     return this.#estimateMs;
   }
 
+  /** Raises the estimate after an adapter was used too early. */
   increase(): void {
     const nowMs = this.#clock.now();
     if (nowMs - this.#increasedMs < ONE_CAUSE_MS) return;
@@ -38,6 +41,7 @@
     this.#estimateMs = Math.min(this.#estimateMs * GROWTH_FACTOR, this.#initialMs * MAX_FACTOR);
   }
 
+  /** Lowers the estimate after an adapter was loaded in time. */
   decrease(): void {
     this.#estimateMs = Math.max(this.#estimateMs * SHRINK_FACTOR, this.#initialMs * MIN_FACTOR);
   }
--- a/packages/slots/src/mechanisms.ts
+++ b/packages/slots/src/mechanisms.ts
@@ -1,33 +1,33 @@
 /**
- * Parts of the policy that can be switched off by a setting, to measure what each is worth. All of them are on
- * unless the setting names them; no shipped example does.
+ * Mechanisms of the scheduling policy that a setting can disable, to measure the effect of each. All are enabled unless
+ * the setting names them; no shipped example does.
  */
 export const MECHANISMS = [
-  /** Reading speeds of engines are learnt; off: the first guess stands. */
+  /** Prefill speeds of engines are learnt. Disabled: the initial estimate is used. */
   'learnt-speed',
-  /** Engines that check fences are taken at once from a holder that is gone; off: a lease is waited. */
+  /** Engines that check fences are taken at once when their holder is gone. Disabled: only after a whole lease. */
   'take-at-once',
-  /** Nodes tell a new leader what they run on engines. */
+  /** Nodes report their running requests to a new leader. */
   'told-uses',
-  /** Homes of adapters are chosen by what engines were given to read of late; off: by the backlog alone. */
+  /** The placement of loads considers the prefill work recently sent to engines. Disabled: only their current backlog. */
   'recent-work',
-  /** Copies of adapters are made for time alone only while slots are idle; off: whenever they are quicker. */
+  /** An adapter is copied to another engine just to save time only while slots are spare. Disabled: whenever it is quicker. */
   'spare-copies',
-  /** A load is weighed beside the backlog it overlaps with; off: their times are added. */
+  /** A load is assumed to overlap with the engine's backlog. Disabled: their times are added. */
   'overlapped-load',
-  /** Adapters are loaded where an engine has them in memory; off: all engines count alike. */
+  /** Adapters are preferably loaded on engines that have them in host memory. Disabled: all engines count the same. */
   'adapter-memory',
   /** Requests that will not get an engine in time are refused early. */
   'early-refusal',
-  /** Requests that come back after a refusal go before others of their age. */
+  /** Retries after a refusal go before other requests of the same age. */
   'returned-first',
-  /** Tenants take turns where one of them would fill the list of those that wait. */
+  /** Tenants share engines by weighted fair queueing while several of them wait. */
   'fair-tenants',
-  /** Requests that are late already wait behind others. */
+  /** Requests that can no longer meet their objective wait behind the others. */
   'late-last',
 ] as const;
 
 export type Mechanism = (typeof MECHANISMS)[number];
 
-/** The mechanisms that are switched off. */
+/** The mechanisms that are disabled. */
 export type SwitchedOff = ReadonlySet<Mechanism>;
--- a/packages/slots/src/model-loader.ts
+++ b/packages/slots/src/model-loader.ts
@@ -8,17 +8,19 @@
 export interface ModelLoaderOptions {
   readonly clock: Clock;
   readonly engines: () => Iterable<EngineEntry>;
-  /** Pause between two looks at an engine that loads a model. */
+  /** Pause between two reports of an engine that loads or unloads a model. */
   readonly pollMs: number;
+  /** Calls back after a delay, unless the pool is closed by then. */
   readonly after: (delayMs: number, action: () => void) => void;
+  /** Called when an engine's state changed, so that waiting requests may be served now. */
   readonly onChange: () => void;
 }
 
-/** Loads base models on engines that hold none, as after a restart. */
+/** Loads base models on engines that hold none, for example after a restart. */
 export class ModelLoader {
   readonly #options: ModelLoaderOptions;
   readonly #budget: StoreLoadBudget;
-  /** Busy engines whose reports are read again. */
+  /** Busy engines whose reports are being polled. */
   readonly #polled = new WeakSet<EngineSlots>();
 
   constructor(options: ModelLoaderOptions) {
@@ -30,7 +32,7 @@
     this.#budget.setRate(loadsPerSecond);
   }
 
-  /** Orders a load wherever an engine holds no model, as far as the weight store's rate allows. */
+  /** Orders a model load on each engine that holds no model, as far as the weight store's rate allows. */
   loadMissing(): void {
     for (const { slots, lease } of this.#options.engines()) {
       if (!lease.held || slots.busy || slots.models.size > 0 || slots.backend.state !== 'ready') continue;
@@ -44,8 +46,8 @@
   }
 
   /**
-   * Reads reports of a busy engine until it is not busy any more. Whoever keeps an engine from loads since a
-   * report showed it busy has to see to it that another report is read: nothing else tells of the end.
+   * Polls a busy engine's reports until it is idle or holds a model. Must be called whenever loads are held back because
+   * a report showed the engine as busy: nothing else announces the end.
    */
   pollUntilIdle(slots: EngineSlots, lease: OrderLease): void {
     if (this.#polled.has(slots)) return;
@@ -65,6 +67,7 @@
     });
   }
 
+  /** Returns the model held by the fewest engines among those that fit into the engine's memory. */
   #scarcestModel(profile: EngineProfile): string | undefined {
     let scarcest: string | undefined;
     let fewest = Infinity;
--- a/packages/slots/src/order-fence.ts
+++ b/packages/slots/src/order-fence.ts
@@ -1,23 +1,29 @@
-/** Room for the part of a fence below the count: the term, then the holder's number. Counts up to 2^21 stay exact. */
+/**
+ * A fence is count * 2^32 + term * 2^14 + holder number. With 32 bits below the count, counts up to 2^21 stay exact
+ * in a double.
+ */
 const COUNT_MULTIPLIER = 2 ** 32;
-/** Room for the holder's number, which matters only between two leaders of the same second. */
+/** The holder number takes the lowest 14 bits. It only decides between two leaders elected in the same second. */
 const TERM_MULTIPLIER = 2 ** 14;
 /**
- * Terms are times of claims in seconds, so they begin anew after three days: a fence can fall only where a holder whose orders
- * were never counted leads on one side of that moment and the next one on the other.
+ * Terms are leadership claim times in seconds, so with 18 bits they wrap around after three days. A fence can fall only
+ * if a holder none of whose orders were counted leads just before the wrap and the next holder leads after it.
  */
 const TERM_MODULUS = COUNT_MULTIPLIER / TERM_MULTIPLIER;
 /**
- * How many counts above the engine's a new holder's first fence stands. An order that changes nothing raises the fence
- * that the engine saw but not its count, so the fence of the holder before can lie anywhere within the count's own range.
+ * How far a new holder's first fence is above the engine's order count. An order that changes nothing raises the
+ * highest fence the engine has seen but not its count, so the previous holder's fence can be any value that starts with
+ * the current count.
  */
 const FIRST_FENCE_LEAD = 1;
 
 /**
- * The fence of one holder's orders to one engine: the engine's count of orders, below it the term, below that the holder's
- * number. It rises with each order taken, and no two holders ever use the same. A new holder starts a count higher, since orders
- * that change nothing are not counted but have fences, too. If its own first orders are of that kind, it is the term
- * that keeps the fence of the next one above its own.
+ * Generates the fencing tokens ("fences") of one holder's orders to one engine. A fence consists, from high to low bits,
+ * of the engine's order count, the leadership term and the holder's number. It rises with each counted order, and no two
+ * holders use the same one.
+ *
+ * A new holder starts one count higher, because orders that change nothing are not counted but do carry a fence. If all
+ * of this holder's orders change nothing, the next holder's higher term keeps its fences above this one's.
  */
 export class OrderFence {
   readonly #holderNumber: number;
@@ -29,12 +35,12 @@
     this.#term = term;
   }
 
-  /** This node becomes holder of an engine with this count. */
+  /** Starts a new tenure as holder of an engine that reports this order count. */
   startAt(count: number): void {
     this.raiseTo(count + FIRST_FENCE_LEAD);
   }
 
-  /** The fence for an order that expects a count; it never falls. */
+  /** Returns the fence for an order that expects this count. Never lower than the previous one. */
   raiseTo(count: number): number {
     const holderPart =
       (this.#term() % TERM_MODULUS) * TERM_MULTIPLIER + (this.#holderNumber % TERM_MULTIPLIER);
@@ -42,7 +48,7 @@
     return this.#highest;
   }
 
-  /** The engine saw a higher fence than the last one. */
+  /** Skips ahead after the engine rejected the last fence because it had seen a higher one. */
   raise(): void {
     this.#highest += COUNT_MULTIPLIER;
   }
--- a/packages/slots/src/order-lease.ts
+++ b/packages/slots/src/order-lease.ts
@@ -11,91 +11,101 @@
 import { OrderFence } from './order-fence.js';
 import type { SlotTiming } from './timing.js';
 
-/** Orders with higher and higher fences before a holder that is refused takes another one to be active. */
+/** After this many consecutive orders rejected for a low fence, each with a higher one, another holder is assumed active. */
 const MAX_FENCED_ORDERS = 2;
 /**
- * A report that shows the expected count vouches for an order that is begun this soon after the report was asked for, in
- * milliseconds: about the time by which reports are late themselves, so a longer one would double what they can't show.
+ * How long after a report was requested an order may rely on the count in it, in milliseconds. This is about the lag of
+ * the reports themselves, so a longer time would more than double the window in which foreign orders go unnoticed.
  */
 const REPORT_VALID_MS = 200;
 
+/** The node that gives orders, as engines see it. */
 export interface OrderHolder {
   readonly name: string;
-  /** Different for every machine; its lowest 14 bits are used. */
+  /** Unique per machine. Only the lowest 14 bits are used, as part of the fence. */
   readonly number: number;
 }
 
 export interface OrderLeaseOptions {
   readonly backend: BackendDescription;
   readonly control: EngineControl;
-  /** Never ahead of the time that has passed: for waiting until the lease of another holder has ended. */
+  /** Never runs ahead of real time. Used to wait until another holder's lease has ended. */
   readonly clock: Clock;
-  /** Never behind it, also where the machine was suspended: for what orders and reports have proved. */
+  /** Never falls behind real time, even if the machine was suspended. Used to expire what orders and reports have proved. */
   readonly fleetClock: Clock;
   readonly timing: SlotTiming;
   readonly holder: OrderHolder;
   readonly telemetry: Telemetry;
-  /** Whether this node may give orders at all; asked before each. */
+  /** Whether this node may give orders at all. Checked before each order. */
   readonly mayOrder: () => boolean;
-  /** Rises with each change of the leader, as far as this node saw them. */
+  /** The leadership term: rises with each change of leader that this node has seen. */
   readonly term: () => number;
-  /** Whether this node reads reports, so as to become holder without delay once it may order. */
+  /** Whether this node reads reports in advance, so that it becomes holder without delay once it may give orders. */
   readonly mayObserve: () => boolean;
-  /** Whether an engine that never took an order can be taken at once, as no other node can lead. */
+  /** Whether an engine with an order count of 0 may be taken at once, because no other node can be leading. */
   readonly mayTakeUnused: () => boolean;
-  /** Whether an engine whose count stood still for a lease can be taken, or the leader before may not know yet. */
+  /**
+   * Whether an engine may be taken whose count did not change for a whole lease. False while the previous leader may not
+   * yet know that it was replaced.
+   */
   readonly mayTake: () => boolean;
   /**
-   * Whether any engine can be taken at once: engines refuse the orders of holders with lower fences, and the
-   * holder before this one is known to be gone.
+   * Whether any engine may be taken at once, because engines reject orders with lower fences and the previous holder is
+   * known to be gone.
    */
   readonly mayTakeAtOnce: () => boolean;
-  /** Reports show that another node gives orders to the engine. */
+  /** Called when reports show that another node gives orders to the engine. */
   readonly onForeignOrders: () => void;
-  /** A report was read from which the state of the engine is to be taken over. */
+  /** Called with each report from which the engine's state should be updated. */
   readonly onReport: (report: EngineReport) => void;
 }
 
+/**
+ * `observing`: another node may be the holder, so reports are read until the count has not changed for a lease.
+ * `held`: this node is the holder. `settling`: the result of the holder's last order is unclear, so its effect is read
+ * from a report before the next order. `closed`: final.
+ */
 type LeaseState =
   | { readonly kind: 'observing'; readonly count: number | undefined; readonly sinceMs: number }
   | { readonly kind: 'held'; readonly nextCount: number }
   | {
       readonly kind: 'settling';
-      /** Counts that the holder's own orders explain; undefined if any will do, as its fence was merely too low. */
+      /** Counts that the holder's own orders can explain. Undefined if any count is fine because only the fence was too low. */
       readonly possibleCounts: readonly number[] | undefined;
       readonly sinceMs: number;
     }
   | { readonly kind: 'closed' };
 
-/** The order was not sent, since this node does not hold the engine (now). */
+/** The order was not sent because this node is not (or no longer) the holder of the engine. */
 export interface NotHeld {
   readonly kind: 'not-held';
 }
 
 /**
- * The right to give orders to one engine, without any memory outside of it. The
- * engine's count of orders is the register: a node becomes holder when the count has stood still for a lease,
- * as its own reports show, and each order names the count that it expects. So the order of another holder is
- * either seen while waiting, or makes the next order here fail.
+ * The exclusive right to give orders to one engine. The only shared state is the engine's own order count: a node becomes
+ * holder when its reports show that the count has not changed for one lease, and each order names the count it expects
+ * (compare-and-set). An order of another holder is therefore either seen while waiting, or makes this node's next order
+ * fail.
  *
- * What was true for one lease only is not acted on after it: a holder whose last counted order is older than that reads
- * a report before its next order, as any other node may have taken the engine meanwhile.
+ * A counted order proves exclusiveness for one lease only. A holder whose last counted order is older reads a report
+ * before its next order, since any other node may have taken the engine in the meantime.
  *
- * Where engines refuse lower fences, a holder that follows one that is gone does not wait: an order of the
- * former one that still arrives names a count that has passed.
+ * Where engines reject lower fences, the successor of a holder that is gone does not wait for the lease: a late order of
+ * the former holder names a count that has passed.
  */
 export class OrderLease {
   readonly #options: OrderLeaseOptions;
   readonly #changed = new Notifier();
-  /** Orders that were refused for a low fence since one was taken. */
+  /** Orders rejected for a low fence since the last accepted one. */
   #fencedOrders = 0;
-  /** Whether the engine took an order since this node became holder. */
+  /** Whether the engine has counted an order since this node became holder. */
   #hasOrdered = false;
-  /** Another holder is active, so the engine is not taken at once again but after a whole lease. */
+  /** Another holder is active, so the engine may not be taken at once again, only after a whole lease. */
   #isContested = false;
   #state: LeaseState = { kind: 'observing', count: undefined, sinceMs: 0 };
+  /** Resolves when the last queued order has been answered. */
   #lastOrder: Promise<void> = Promise.resolve();
-  /** Until when no other node can have become holder, as far as orders and reports have shown, on the fleet clock. */
+  /** Until when orders and reports prove that no other node can have become holder, on the fleet clock. */
   #exclusiveUntilMs = -Infinity;
   readonly #fence: OrderFence;
 
@@ -109,7 +119,7 @@
     return this.#state.kind === 'held';
   }
 
-  /** How long until this node becomes holder, in milliseconds, if nothing comes between. Infinity if closed. */
+  /** Earliest time until this node can become holder, in milliseconds. Infinity if closed. */
   get untilHeldMs(): number {
     const state = this.#state;
     const { timing, clock } = this.#options;
@@ -126,24 +136,24 @@
     }
   }
 
-  /** Looks again at once, since this node may order now. */
+  /** Checks again at once whether the engine can be taken, as when this node may give orders now. */
   wake(): void {
     if (this.#state.kind === 'observing') this.#changed.notify();
   }
 
-  /** Stops for good. */
+  /** Gives up the lease for good. */
   close(): void {
     this.#enter({ kind: 'closed' });
   }
 
-  /** Forgets what was known, as after a pause: the lease has to be observed again. */
+  /** Gives up the lease and discards what was observed, for example after a process pause. */
   reset(reason: string): void {
     if (this.#state.kind === 'closed') return;
     this.#logLost(reason);
     this.#enter({ kind: 'observing', count: undefined, sinceMs: 0 });
   }
 
-  /** Reads the engine's state again before the next order. */
+  /** Holds back further orders until a new report of the engine has been read. */
   settle(): void {
     if (this.#state.kind !== 'held') return;
     this.#enter({
@@ -153,7 +163,7 @@
     });
   }
 
-  /** Gives one order; orders to one engine follow one another. */
+  /** Sends one order. Orders to the engine are sent one at a time, in the order of the calls. */
   async order(subject: OrderSubject): Promise<OrderReply | NotHeld> {
     const previous = this.#lastOrder;
     let finish = (): void => undefined;
@@ -190,7 +200,10 @@
     return reply;
   }
 
-  /** Whether the engine still shows what this node expects; if not, it has another holder, or none that is known. */
+  /**
+   * Reads a report to check that the engine's count is still the expected one. If not, another node is the holder; without
+   * a report, the state is unknown and has to settle.
+   */
   async #verifyHeld(held: LeaseState & { kind: 'held' }): Promise<void> {
     const { clock, fleetClock, control, backend } = this.#options;
     const askedMs = clock.now();
@@ -207,14 +220,18 @@
   }
 
   #handleForeignOrders(count: number, askedMs: number, expected: string): void {
-    // A count that went on after an own order is another holder's work. Before, it may be the former one's last.
+    // Once this node has ordered, further counts come from another active holder. Before that, they may be the last
+    // orders of the former holder.
     this.#isContested ||= this.#hasOrdered;
     this.#logLost(`count is ${count}, expected ${expected}`);
     this.#enter({ kind: 'observing', count, sinceMs: askedMs });
     this.#options.onForeignOrders();
   }
 
-  /** An order was counted: for a lease from its arrival nobody else takes the engine, and the next one is on its way in time. */
+  /**
+   * The engine counted an order, so no other node takes it for one lease from the order's arrival. The next order may
+   * take up to ORDER_TIMEOUT_MS to arrive and has to do so within that lease.
+   */
   #recordCountedOrder(expectedCount: number, startedFleetMs: number): void {
     this.#hasOrdered = true;
     this.#exclusiveUntilMs = startedFleetMs + this.#options.timing.leaseMs - ORDER_TIMEOUT_MS;
@@ -222,7 +239,7 @@
   }
 
   #applyReply(subject: OrderSubject, reply: OrderReply, expectedCount: number, startedFleetMs: number): void {
-    // A reset or close while the answer was on its way stands.
+    // If the lease was reset or closed while the reply was in flight, that takes precedence.
     if (this.#state.kind !== 'held' || this.#state.nextCount !== expectedCount) return;
     const sinceMs = this.#options.clock.now();
     switch (reply.kind) {
@@ -231,7 +248,7 @@
         this.#recordCountedOrder(expectedCount, startedFleetMs);
         return;
       case 'done':
-        // An unload is counted when it is done; a load that was not needed is not.
+        // Engines count a completed unload, but not a load of something already loaded.
         if (subject.action === 'unload') this.#recordCountedOrder(expectedCount, startedFleetMs);
         return;
       case 'conflict':
@@ -252,9 +269,9 @@
   }
 
   /**
-   * The engine saw a higher fence: of a holder that is gone, whose last orders the report did not show yet, or of
-   * one that is active. In the first case a few higher fences get through, in the second a whole lease is waited.
-   * After an order that was taken it is the second.
+   * The engine has seen a higher fence, either from a former holder whose last orders the report did not show yet, or from
+   * an active one. In the first case it is enough to retry a few times with higher fences. In the second case this node
+   * waits for a whole lease; that is certain if the engine has already counted an order of this holder.
    */
   #handleHigherFence(sinceMs: number): void {
     this.#fence.raise();
--- a/packages/slots/src/pause-detector.ts
+++ b/packages/slots/src/pause-detector.ts
@@ -1,9 +1,9 @@
 import type { Clock } from '@canvasridge/clock';
 
 /**
- * Notices that the process was not running for a while (stopped, frozen or starved), so that what it
- * believed before is not acted on. It is asked at regular times, and right before an action, so that it also sees a pause
- * that ended just now.
+ * Detects that the process was not running for a while (stopped, frozen or starved of CPU time), so that it does not act
+ * on outdated state. It must be checked at regular intervals, and also right before an action to detect a pause that has
+ * only just ended.
  */
 export class PauseDetector {
   readonly #clock: Clock;
@@ -11,18 +11,19 @@
   readonly #listeners: ((pausedMs: number) => void)[] = [];
   #lastTickMs: number;
 
-  /** @param limitMs a gap between two checks that is longer than this counts as a pause */
+  /** @param limitMs a longer gap between two checks counts as a pause */
   constructor(clock: Clock, limitMs: number) {
     this.#clock = clock;
     this.#limitMs = limitMs;
     this.#lastTickMs = clock.now();
   }
 
+  /** Registers a listener for detected pauses. */
   onPause(listener: (pausedMs: number) => void): void {
     this.#listeners.push(listener);
   }
 
-  /** Tells the listeners of a pause since the last check, and returns whether there was one. */
+  /** Notifies the listeners if there was a pause since the last check, and returns whether there was one. */
   check(): boolean {
     const nowMs = this.#clock.now();
     const gapMs = nowMs - this.#lastTickMs;
--- a/packages/slots/src/peer-sight.ts
+++ b/packages/slots/src/peer-sight.ts
@@ -1,14 +1,15 @@
 import type { Clock } from '@canvasridge/clock';
 
-/** Members that went out of sight count for this long as perhaps cut off. */
+/** How long a member that became unreachable counts as possibly on the other side of a partition. */
 const LOST_RETENTION_MS = 8000;
-/** A node that sees the first of the others again has heard of their leader after this time: several periods of gossip. */
+/** Several gossip periods: by then, a node that sees the first other member again has also learnt of their leader. */
 const REUNION_DELAY_MS = 2000;
 
 /**
- * Whether this node is likely on the larger side of a partition, if there is one: it sees more than half of
- * the members that it saw of late. It tells late, as members are looked at one after the other, and a node that forgot those
- * that it lost sees most of the rest, so it is one of several things that have to hold before a node gives orders.
+ * Estimates whether this node is on the majority side of a possible network partition: whether it sees more than half of
+ * the members it saw recently. The result lags, because members are probed one after the other. It can also be wrong, as
+ * a node that has forgotten the members it lost sees a majority of the rest. It is therefore only one of several
+ * conditions for giving orders.
  */
 export class PeerSight {
   readonly #clock: Clock;
@@ -17,14 +18,14 @@
   readonly #startedMs: number;
   #alive: readonly string[] = [];
   #visible = new Set<string>();
-  /** Members that went out of sight without a word, and when that was noticed. */
+  /** Members that became unreachable without announcing their departure, and when that was noticed. */
   readonly #lostAtMs = new Map<string, number>();
-  /** When this node became a remainder; undefined if it is none. */
+  /** Since when this node may be cut off from the majority; undefined if it is not. */
   #minoritySinceMs: number | undefined;
-  /** When the first of the others came back in sight of a node that was a remainder. */
+  /** When a possibly cut-off node last saw a member come back. */
   #reunitedMs = -Infinity;
 
-  /** @param aloneAfterMs time after its start from which a node that never met another acts alone */
+  /** @param aloneAfterMs time after its start from which a node that has never seen another member acts alone */
   constructor(clock: Clock, selfId: string, aloneAfterMs: number) {
     this.#clock = clock;
     this.#selfId = selfId;
@@ -33,8 +34,9 @@
   }
 
   /**
-   * @param alive members believed alive, without this node; the same list as long as nothing changed
-   * @param departed members that said they leave
+   * Updates the view from the current membership.
+   * @param alive members believed alive, without this node; must be the same array while nothing changes
+   * @param departed members that announced their departure
    */
   update(alive: readonly string[], departed: readonly string[]): void {
     const nowMs = this.#clock.now();
@@ -63,34 +65,36 @@
     for (const id of alive) this.#lostAtMs.delete(id);
   }
 
-  /** Members in sight, without this node. */
+  /** Members believed alive, without this node. */
   get visible(): ReadonlySet<string> {
     return this.#visible;
   }
 
-  /** Members that went out of sight without a word and are not forgotten yet. */
+  /** Members that recently became unreachable without announcing their departure. */
   get lost(): readonly string[] {
     return [...this.#lostAtMs.keys()];
   }
 
   /**
-   * Whether this node saw few of the others and then forgot those that it did not see, without any of them coming back: it may
-   * be cut off, and the others have a leader of their own.
+   * Whether this node may be cut off from a majority that has a leader of its own. It is if it did not see a majority
+   * and then forgot the lost members, and until one of them has been back for a while.
    */
   get isRemainder(): boolean {
     return this.#minoritySinceMs !== undefined || this.#clock.now() - this.#reunitedMs < REUNION_DELAY_MS;
   }
 
-  /** How long it has been a remainder that sees nobody at all, in milliseconds; undefined if it sees any or is none. */
+  /** How long this node may have been cut off without seeing any other member, in milliseconds; undefined otherwise. */
   get aloneMs(): number | undefined {
     if (this.#minoritySinceMs === undefined || this.#visible.size > 0) return undefined;
     return this.#clock.now() - this.#minoritySinceMs;
   }
 
+  /** Whether this node sees other members and lost none recently. */
   seesAll(): boolean {
     return this.#visible.size > 0 && this.#lostAtMs.size === 0;
   }
 
+  /** Whether this node sees a majority of recent members. Of two equal halves, the one with the smallest id counts. */
   seesMost(): boolean {
     if (this.#visible.size === 0 && this.#lostAtMs.size === 0) {
       return this.#clock.now() - this.#startedMs >= this.#aloneAfterMs;
--- a/packages/slots/src/pool-figures.ts
+++ b/packages/slots/src/pool-figures.ts
@@ -2,37 +2,45 @@
 
 /** Figures of a pool for logs and metrics. */
 export interface PoolFigures extends EngineFigures {
+  /** Waiting requests. */
   readonly waiting: number;
+  /** Running requests. */
   readonly running: number;
-  /** Present guess of how long a fetch from the weight store takes. */
+  /** Current estimate of how long a fetch from the weight store takes. */
   readonly coldLoadMs: number;
-  /** Fetches from the weight store that may be under way at the same time. */
+  /** Maximum number of concurrent fetches from the weight store. */
   readonly fetchWindow: number;
-  /** Time that reading 1,000 tokens of a prompt is thought to take, for all engines together. */
+  /** Estimated prefill time of 1,000 prompt tokens, over all engines. */
   readonly readMsPer1000: number;
-  /** Mean time between two slots that become idle. */
+  /** Mean time between two slots becoming idle. */
   readonly gapMs: number;
 }
 
-/** The part of a pool's figures that is about its engines. */
+/** The figures of a pool that concern its engines. */
 export interface EngineFigures {
+  /** Listed engines. */
   readonly engines: number;
+  /** Engines for which this node holds the order lease. */
   readonly held: number;
-  /** Engines that load or unload a model, by their last report. */
+  /** Engines that are loading or unloading a model, as far as known. */
   readonly busy: number;
-  /** Engines that are given nothing for a moment, after a failure. */
+  /** Engines that are avoided for a while after a failure. */
   readonly avoided: number;
-  /** Engines that name how many requests a second they take. */
+  /** Engines that state a limit on requests per second. */
   readonly rateLimited: number;
-  /** Adapters with requests, without, and on their way. */
+  /** Adapters used by running requests. */
   readonly slotsInUse: number;
+  /** Loaded adapters without running requests. */
   readonly slotsIdle: number;
+  /** Adapters being loaded. */
   readonly slotsLoading: number;
-  /** Longest and shortest backlog of prompts of an engine. */
+  /** Longest prompt backlog of an engine. */
   readonly mostBacklogMs: number;
+  /** Shortest prompt backlog of an engine. */
   readonly leastBacklogMs: number;
 }
 
+/** Computes the figures of these engines. */
 export function describeEngines(entries: readonly EngineEntry[], nowMs: number): EngineFigures {
   const slots = entries.flatMap((entry) => [...entry.slots.slots.values()]);
   const backlogs = entries.map((entry) => Math.round(entry.slots.backlog.remainingMs(nowMs)));
--- a/packages/slots/src/pool-index.ts
+++ b/packages/slots/src/pool-index.ts
@@ -1,22 +1,22 @@
 import type { EngineEntry } from './engine-entry.js';
 
-/** If more engines than this part of them failed of late, to avoid them only fills the others: none is avoided. */
+/** If more than this fraction of the engines failed recently, none is avoided, since that would only overload the others. */
 const MAX_AVOIDED_SHARE = 0.5;
-/** Adapters that one engine is asked to fetch at the same time. */
+/** Maximum number of adapters that one engine loads at the same time. */
 const MAX_LOADS_PER_ENGINE = 3;
 
 /**
- * Where adapters are, and which engines can load one, at one moment. Built once for many requests that wait,
- * as each would have to look at all slots of all engines. States that change while it is used are read again
- * from the engines by those who use it.
+ * A snapshot of where adapters are and which engines can load one. It is built once for many waiting requests, because
+ * otherwise each would have to read all slots of all engines. Users must re-read from the engines any state that may
+ * have changed since.
  */
 export class PoolIndex {
   readonly #holders = new Map<string, EngineEntry[]>();
   readonly #loading = new Map<string, EngineEntry[]>();
   readonly #loadTargets: EngineEntry[] = [];
-  /** When it was built. */
+  /** When the index was built. */
   readonly builtMs: number;
-  /** Whether engines that failed are avoided at all. */
+  /** Whether engines that failed recently are avoided. */
   readonly #avoidsFailed: boolean;
   #fetches = 0;
   #slots = 0;
@@ -30,37 +30,37 @@
     for (const entry of all) this.#addEngine(entry, nowMs);
   }
 
-  /** Whether an engine failed a moment ago while most others did not. */
+  /** Whether an engine failed recently while most others did not. */
   isAvoided({ slots }: EngineEntry): boolean {
     return this.#avoidsFailed && slots.avoidUntilMs > this.builtMs;
   }
 
-  /** Engines that had the adapter loaded. */
+  /** Engines that had the adapter loaded when the index was built. */
   holders(key: string): readonly EngineEntry[] {
     return this.#holders.get(key) ?? [];
   }
 
-  /** Engines to which the adapter was on its way. */
+  /** Engines that were loading the adapter. */
   loading(key: string): readonly EngineEntry[] {
     return this.#loading.get(key) ?? [];
   }
 
-  /** Engines that could take one more adapter. */
+  /** Engines that could load one more adapter. */
   get loadTargets(): readonly EngineEntry[] {
     return this.#loadTargets;
   }
 
-  /** Fetches from the weight store under way, on all engines. */
+  /** Fetches from the weight store in progress, on all engines. */
   get fetches(): number {
     return this.#fetches;
   }
 
-  /** Part of all adapter slots that is empty or could be emptied, 0 to 1. */
+  /** Fraction of all adapter slots that are empty or evictable, 0 to 1. */
   get spareShare(): number {
     return this.#slots === 0 ? 0 : this.#spare / this.#slots;
   }
 
-  /** A load was ordered. */
+  /** Records that a load was ordered after the index was built. */
   loadStarted(key: string, entry: EngineEntry, isFetch: boolean): void {
     append(this.#loading, key, entry);
     if (isFetch) this.#fetches += 1;
@@ -84,7 +84,7 @@
   }
 }
 
-/** Adapters that are on their way from the weight store to these engines. */
+/** Counts the adapters that these engines are fetching from the weight store. */
 export function countFetches(entries: Iterable<EngineEntry>): number {
   let count = 0;
   for (const { slots } of entries) {
@@ -93,7 +93,7 @@
   return count;
 }
 
-/** Whether an engine may be asked for one more adapter beside those on their way. */
+/** Whether an engine may be ordered to load one more adapter beside those it is loading. */
 export function canLoadMore(entry: EngineEntry): boolean {
   return entry.slots.loadingCount < MAX_LOADS_PER_ENGINE;
 }
--- a/packages/slots/src/pool-leadership.ts
+++ b/packages/slots/src/pool-leadership.ts
@@ -4,31 +4,32 @@
 /** A member's claim to lead a pool. */
 export interface PoolClaim {
   readonly memberId: string;
-  /** Of two claims the one with the higher epoch rules, then the smaller id. */
+  /** The claim with the highest epoch wins; ties go to the smaller member id. */
   readonly epoch: number;
 }
 
-/** What the election needs of the membership. */
+/** Membership information that the leader election needs. */
 export interface LeadershipPeers {
   readonly selfId: string;
-  /** Members that may lead, this node included unless it is stopping; the preferred one first. */
+  /** Members that may lead, in order of preference. Includes this node unless it is stopping. */
   candidates(pool: string): readonly string[];
-  /** Claims of members that are present. */
+  /** Claims of members that are alive. */
   claims(pool: string): readonly PoolClaim[];
-  /** Publishes this node's claim, or withdraws it. */
+  /** Publishes this node's claim, or withdraws it if the epoch is undefined. */
   publishClaim(pool: string, epoch: number | undefined): void;
+  /** Whether this node sees a majority of the members it saw recently. */
   seesMost(): boolean;
 }
 
-/** How long the first candidate sees no claim before it claims, and how much longer each one after it. */
+/** How long the first candidate waits without seeing a claim before it claims, and how much longer each further one waits. */
 const CLAIM_DELAY_MS = 150;
 const CLAIM_DELAY_PER_RANK_MS = 600;
 const SECOND_MS = 1000;
 
 /**
- * Chooses the node that hands out the slots of one pool. A claim stands as long as its member is present, so
- * nodes that come back do not take a pool away. There can be two leaders for a moment, and for longer on two
- * sides of a cut: who may give orders is asked anew for each, see {@link OrderLease}.
+ * Elects the node that grants the slots of one pool. A claim holds as long as its member is alive, so a returning node
+ * does not take the pool back. Two nodes can consider themselves leader for a moment, or for longer during a network
+ * partition. {@link OrderLease} therefore checks before each order that its node may give orders.
  */
 export class PoolLeadership {
   readonly #pool: string;
@@ -47,12 +48,12 @@
     this.#telemetry = telemetry;
   }
 
-  /** The member to ask for slots, if one is known. */
+  /** Id of the current leader, if one is known. */
   get leader(): string | undefined {
     return this.#leader;
   }
 
-  /** Highest epoch of any claim seen so far: rises with each change of the leader. */
+  /** Highest epoch of any claim seen so far. Rises with each change of leader. */
   get term(): number {
     return this.#highestEpoch;
   }
@@ -61,7 +62,7 @@
     return this.#leader === this.#peers.selfId;
   }
 
-  /** Looks at the claims; to be called a few times a second. Returns whether the leader changed. */
+  /** Evaluates the current claims. Must be called a few times a second. Returns whether the leader changed. */
   update(): boolean {
     const winner = this.#winningClaim();
     if (this.#ownEpoch !== undefined && winner?.memberId !== this.#peers.selfId) this.#withdraw();
@@ -70,7 +71,7 @@
     return this.#setLeader(this.#ownEpoch === undefined ? winner?.memberId : this.#peers.selfId);
   }
 
-  /** Gives the pool up, as on a planned stop; the next leader is followed. */
+  /** Withdraws this node's claim, as on a planned stop. The node then follows the next leader. */
   resign(): void {
     if (this.#ownEpoch === undefined) return;
     this.#withdraw();
@@ -89,7 +90,7 @@
 
   #claimAfterDelay(): void {
     const nowMs = this.#clock.now();
-    // Nodes may rank candidates differently for a while, so the later ones claim too when nobody does.
+    // Nodes may rank candidates differently for a while, so lower-ranked ones also claim if nobody else does.
     const rank = this.#peers.candidates(this.#pool).indexOf(this.#peers.selfId);
     if (rank === -1 || !this.#peers.seesMost()) {
       this.#unclaimedSinceMs = undefined;
@@ -97,8 +98,8 @@
     }
     this.#unclaimedSinceMs ??= nowMs;
     if (nowMs - this.#unclaimedSinceMs < CLAIM_DELAY_MS + rank * CLAIM_DELAY_PER_RANK_MS) return;
-    // Clocks of machines differ and jump, so an epoch counts on from what was seen. The time takes the place of
-    // what nobody remembers after a loss of all: without it the next leader's fences can be lower.
+    // Wall clocks differ between machines and can jump, so an epoch is always higher than any seen. The wall time
+    // matters after all nodes were lost and no epoch is remembered: without it the next leader's fences could be lower.
     this.#highestEpoch = Math.max(this.#highestEpoch + 1, Math.floor(this.#clock.wallTime() / SECOND_MS));
     this.#ownEpoch = this.#highestEpoch;
     this.#peers.publishClaim(this.#pool, this.#ownEpoch);
--- a/packages/slots/src/prefill-speed.ts
+++ b/packages/slots/src/prefill-speed.ts
@@ -1,24 +1,25 @@
-/** First guess before any answer was seen; a few prompts replace it. The slowest engines known read 0.06 ms a token. */
+/** Initial estimate, outweighed after a few prompts. The slowest known engines take 0.06 ms per token. */
 const INITIAL_MS_PER_TOKEN = 0.05;
-/** Weight of the first guess and of what an engine's fellows show, in tokens: one or two prompts of usual length. */
+/** Weight of the initial estimate or the pool's speed, in tokens: one or two prompts of usual length. */
 const PRIOR_TOKENS = 3000;
-/** Reading time after which an observation counts half: an engine that turns slow is known within some answers. */
+/** Half-life of observations in prefill time, so that an engine that becomes slow is recognized within a few answers. */
 const HALF_LIFE_MS = 1200;
-/** Bounds of what is believed, in ms per token; an observation beyond them comes from something else. */
-const FASTEST_MS_PER_TOKEN = 0.002;
-const SLOWEST_MS_PER_TOKEN = 1;
+/** Bounds of the estimate, in ms per token. Observations beyond them have other causes than prefill. */
+const MIN_MS_PER_TOKEN = 0.002;
+const MAX_MS_PER_TOKEN = 1;
 
-/** Time that reading one token of a prompt takes, learnt from how long prompts of known length took. */
+/** Estimates the prefill time per prompt token, learnt from how long prompts of known length took. */
 export class PrefillSpeed {
   readonly #poolSpeed: PrefillSpeed | undefined;
   readonly #halfLifeMs: number;
   readonly #learns: boolean;
   #tokens = 0;
-  #readingMs = 0;
+  #prefillMs = 0;
 
   /**
-   * @param poolSpeed the speed of like engines, which is believed until this one has shown its own
-   * @param learns false to stay with the first guess
+   * @param poolSpeed the speed of similar engines, used until this engine has been observed, and updated by it
+   * @param halfLifeMs half-life of observations, in milliseconds of prefill time
+   * @param learns false to always use the initial estimate
    */
   constructor(poolSpeed: PrefillSpeed | undefined, halfLifeMs = HALF_LIFE_MS, learns = true) {
     this.#learns = learns && (poolSpeed?.learns ?? true);
@@ -31,25 +32,26 @@
   }
 
   get msPerToken(): number {
-    const prior = this.#poolSpeed?.msPerToken ?? INITIAL_MS_PER_TOKEN;
-    const learnt = (this.#readingMs + prior * PRIOR_TOKENS) / (this.#tokens + PRIOR_TOKENS);
-    return Math.min(Math.max(learnt, FASTEST_MS_PER_TOKEN), SLOWEST_MS_PER_TOKEN);
+    const priorMsPerToken = this.#poolSpeed?.msPerToken ?? INITIAL_MS_PER_TOKEN;
+    const weightedMsPerToken =
+      (this.#prefillMs + priorMsPerToken * PRIOR_TOKENS) / (this.#tokens + PRIOR_TOKENS);
+    return Math.min(Math.max(weightedMsPerToken, MIN_MS_PER_TOKEN), MAX_MS_PER_TOKEN);
   }
 
-  /** The engine read these tokens in this time. */
-  observe(tokens: number, readingMs: number): void {
+  /** Records that the engine processed this many tokens in this time. */
+  observe(tokens: number, prefillMs: number): void {
     if (!this.#learns) return;
-    const keptShare = 0.5 ** (readingMs / this.#halfLifeMs);
+    const keptShare = 0.5 ** (prefillMs / this.#halfLifeMs);
     this.#tokens = this.#tokens * keptShare + tokens;
-    this.#readingMs = this.#readingMs * keptShare + readingMs;
-    this.#poolSpeed?.observe(tokens, readingMs);
+    this.#prefillMs = this.#prefillMs * keptShare + prefillMs;
+    this.#poolSpeed?.observe(tokens, prefillMs);
   }
 }
 
-/** Reading time, of all engines of a pool together, after which what they showed counts half. */
+/** Half-life of observations of a whole pool, in prefill time summed over its engines. */
 const POOL_HALF_LIFE_MS = 20_000;
 
-/** The speed that the engines of one pool show together. */
+/** Creates the estimate shared by all engines of a pool. */
 export function newPoolSpeed(learns = true): PrefillSpeed {
   return new PrefillSpeed(undefined, POOL_HALF_LIFE_MS, learns);
 }
--- a/packages/slots/src/prompt-backlog.ts
+++ b/packages/slots/src/prompt-backlog.ts
@@ -1,35 +1,36 @@
 import { PrefillSpeed } from './prefill-speed.js';
 
-/** Part of a prompt's time that goes to its way there and back, in ms: two links, one step of the engine. */
+/** Part of a request's time to first event that is not prefill, in ms: two network hops and one step of the engine. */
 const TRANSIT_MS = 10;
-/** A home for an adapter is chosen for some seconds, so engines are compared by what they got over about as long. */
+/** An adapter stays on an engine for some seconds, so engines are compared by the work they got over about as long. */
 const RECENT_HALF_LIFE_MS = 1500;
-/** How much slower than its known speed an engine that shows nothing is taken to be, at the most. */
+/** Maximum factor by which a silent engine is assumed to be slower than its learnt speed. */
 const MAX_STALL_FACTOR = 6;
 
 /**
- * Prompts that were sent to one engine and of which no event has come back. What an engine has yet to read is
- * counted from what was seen, so a wrong guess of its speed ends with the prompts that it was made for.
+ * Tracks the prompts that were sent to one engine and have not returned an event yet. The backlog is computed from these
+ * prompts only, so a wrong estimate of the engine's speed has no effect beyond them.
  */
 export class PromptBacklog {
   readonly speed: PrefillSpeed;
   readonly #pending = new Map<string, number>();
   #tokens = 0;
-  /** Reading time of the prompts that were sent of late, each of which counts half after {@link RECENT_HALF_LIFE_MS}. */
+  /** Prefill time of the recently sent prompts, with a half-life of {@link RECENT_HALF_LIFE_MS}. */
   #recentWorkMs = 0;
   #recentAtMs = 0;
-  /** When the engine last showed that it had read a prompt, or got its first one after a rest. */
+  /** When the engine last finished a prompt, or got its first one after being idle. */
   #progressMs = 0;
 
   constructor(poolSpeed: PrefillSpeed | undefined) {
     this.speed = new PrefillSpeed(poolSpeed);
   }
 
-  /** Tokens that are not known to be read. */
+  /** Total prompt tokens that are not known to be processed. */
   get tokens(): number {
     return this.#tokens;
   }
 
+  /** Records that a request was sent to the engine. */
   add(requestId: string, tokens: number, nowMs: number): void {
     if (this.#pending.size === 0) this.#progressMs = nowMs + TRANSIT_MS;
     this.#pending.set(requestId, tokens);
@@ -38,12 +39,12 @@
     this.#recentAtMs = nowMs;
   }
 
-  /** How much the engine was given to read of late, in milliseconds of its time: the backlog without its chance. */
+  /** Prefill work recently sent to the engine, in milliseconds. It fluctuates less than the current backlog. */
   recentWorkMs(nowMs: number): number {
     return this.#recentWorkMs * 0.5 ** ((nowMs - this.#recentAtMs) / RECENT_HALF_LIFE_MS);
   }
 
-  /** The first event of a request came back, so its prompt was read. */
+  /** Records that the first event of a request arrived, which shows that its prompt was processed. */
   recordRead(requestId: string, nowMs: number): void {
     const tokens = this.#take(requestId);
     if (tokens === undefined) return;
@@ -51,23 +52,23 @@
     this.#progressMs = Math.max(nowMs, this.#progressMs);
   }
 
-  /** A request ended without an event, so nothing is known of its prompt. */
+  /** Records that a request ended without an event, which tells nothing about its prompt. */
   drop(requestId: string): void {
     this.#take(requestId);
   }
 
-  /** How long until the engine has read what it was sent, in milliseconds. */
+  /** Estimated time until the engine has processed all prompts sent to it, in milliseconds. */
   remainingMs(nowMs: number): number {
     if (this.#pending.size === 0) return 0;
     const expectedMs = this.prefillMs(this.#tokens);
     const stalledMs = Math.max(nowMs - this.#progressMs, 0);
     const perPromptMs = expectedMs / this.#pending.size;
     if (stalledMs <= perPromptMs) return expectedMs - stalledMs;
-    // Nothing was read for longer than one prompt takes: it is slower than it was, or stands still.
+    // No prompt was finished for longer than one should take: the engine has become slower or is stalled.
     return expectedMs * Math.min(stalledMs / perPromptMs, MAX_STALL_FACTOR);
   }
 
-  /** How long a prompt of this length takes to be read. */
+  /** Estimated prefill time of a prompt of this length, in milliseconds. */
   prefillMs(tokens: number): number {
     return tokens * this.speed.msPerToken;
   }
--- a/packages/slots/src/refusal-policy.ts
+++ b/packages/slots/src/refusal-policy.ts
@@ -14,32 +14,33 @@
   readonly waiting: WaitingList;
   readonly turnover: SlotTurnover;
   readonly index: () => PoolIndex;
-  /** Present guess of how long a fetch from the weight store takes, in milliseconds. */
+  /** Current estimate of how long a fetch from the weight store takes, in milliseconds. */
   readonly coldLoadMs: () => number;
-  /** Fetches from the weight store that may be under way at the same time. */
+  /** Maximum number of concurrent fetches from the weight store. */
   readonly fetchWindow: () => number;
-  /** Calls back after a time, unless the pool was closed meanwhile. */
+  /** Calls back after a delay, unless the pool is closed by then. */
   readonly after: (delayMs: number, action: () => void) => void;
-  /** Ends the wait of a request that was taken off the list. */
+  /** Refuses a request that was removed from the waiting list. */
   readonly refuse: (waiting: WaitingRequest, reason: RefusalReason, retryAfterMs: number) => void;
   readonly disabled: SwitchedOff;
 }
 
-/** How often those that wait are looked at: a refusal is known to its client a few hundredths of an objective later. */
+/** How often waiting requests are checked. It delays a refusal by a few hundredths of an objective at most. */
 const CHECK_PERIOD_MS = 40;
-/** Engines that left the list may be back within this time, as after a moment in which the list was read anew. */
+/** Engines that left the published list may be back within this time, for example while the list is re-read. */
 const NO_ENGINE_GRACE_MS = 200;
-/** When a client comes back for which no engine serves the model: what it waits for tells no time. */
+/** Retry delay if no engine serves the model, in which case the actual wait can't be estimated. */
 const RETRY_WITHOUT_ENGINE_MS = 1000;
-/** The same where engines serve it and the request may be given to none of them: it comes again as a new one. */
+/** Retry delay if engines serve the model but the request excludes all of them. The retry is a new request. */
 const RETRY_AFTER_EXCLUSION_MS = 300;
-/** A client is told no longer time than this: what is foreseen beyond it is a guess. */
+/** Longest retry delay given to a client, because estimates beyond it are unreliable. */
 const MAX_RETRY_AFTER_MS = 5000;
 
 /**
- * Refuses a request as soon as it is known that it can't begin in the time that its client waits, and no other: a late
- * answer reaches a client sooner than a refusal and a second try. Nothing goes by a part of the objective. What is
- * foreseen is the time until its turn, by how fast slots become idle or fetches end, and the load after it.
+ * Refuses a waiting request as soon as it is estimated that it can't start within the time its client waits. No other
+ * request is refused, not even a late one: a late answer reaches a client sooner than a refusal and a retry, so the
+ * objective plays no part. The estimate adds the time until the request's turn, from how fast slots become idle or
+ * fetches end, and the load after it.
  */
 export class RefusalPolicy {
   readonly #options: RefusalPolicyOptions;
@@ -49,7 +50,7 @@
     this.#options = options;
   }
 
-  /** A request began to wait. */
+  /** Schedules the next check, which repeats while any request waits. Called when a request starts to wait. */
   scheduleCheck(): void {
     if (this.#isCheckScheduled) return;
     this.#isCheckScheduled = true;
@@ -73,8 +74,9 @@
   }
 
   /**
-   * @param aheadCount requests whose turn comes first
-   * @param gapMs time between two loads that can begin
+   * Returns whether the request was refused.
+   * @param aheadCount number of waiting requests before this one
+   * @param gapMs mean time between two loads that can begin
    */
   #refuseIfUnattainable(waiting: WaitingRequest, aheadCount: number, gapMs: number, nowMs: number): boolean {
     const { engines, selector, waiting: list, index, refuse, disabled } = this.#options;
@@ -84,7 +86,7 @@
     const turnMs = (aheadCount + 1) * gapMs;
     if (!engines.servesRequest(request) && ageMs >= NO_ENGINE_GRACE_MS) {
       list.remove(request.id);
-      // Its node must use none of the engines that serve the model; another node may.
+      // If the model is served, this request excludes all engines that serve it; a retry at another node may not.
       const isServed = engines.serves(request.model);
       refuse(waiting, 'no-engine', isServed ? RETRY_AFTER_EXCLUSION_MS : RETRY_WITHOUT_ENGINE_MS);
       return true;
@@ -98,7 +100,7 @@
     return true;
   }
 
-  /** How long until a request that waits can start: at an engine that has its adapter, or after a load. */
+  /** Estimated time until a waiting request can start, on an engine that has its adapter or after a load. */
   #expectedWaitMs(waiting: WaitingRequest, turnMs: number, nowMs: number): number {
     const { engines, selector, index, coldLoadMs } = this.#options;
     const engine = selector.best(waiting.request, index(), nowMs);
@@ -108,7 +110,7 @@
     return Math.min(backlogEndsMs, loadedMs);
   }
 
-  /** Time between two loads that can begin: where slots are idle, as fetches end; else as slots become idle. */
+  /** Time between two loads that can begin. It is limited by fetches, and if no slot is spare, also by slots becoming idle. */
   #loadIntervalMs(oldestArrivalMs: number, nowMs: number): number {
     const { turnover, index, coldLoadMs, fetchWindow } = this.#options;
     const fetchGapMs = coldLoadMs() / fetchWindow();
--- a/packages/slots/src/refused-requests.ts
+++ b/packages/slots/src/refused-requests.ts
@@ -1,11 +1,11 @@
 import type { Clock } from '@canvasridge/clock';
 import { LRUCache } from 'lru-cache';
 
-/** A client comes back within this time, or not at all. */
+/** A request this long or longer after a refusal does not count as its retry. */
 const RETRY_WITHIN_MS = 6000;
 const MAX_REMEMBERED = 4096;
 
-/** How a request was refused before: early enough for a timely answer to its next attempt, or late. */
+/** Whether a refusal came early enough that the retry can still meet the objective. */
 export type RefusalTiming = 'early' | 'late';
 
 interface Refusal {
@@ -13,7 +13,7 @@
   readonly timing: RefusalTiming;
 }
 
-/** Remembers requests that were refused, to know them when their clients come back. */
+/** Remembers recently refused requests in order to recognize their retries. */
 export class RefusedRequests {
   readonly #clock: Clock;
   readonly #refusals = new LRUCache<string, Refusal>({ max: MAX_REMEMBERED });
@@ -22,11 +22,12 @@
     this.#clock = clock;
   }
 
+  /** Records a refusal. */
   note(promptKey: string | undefined, timing: RefusalTiming): void {
     if (promptKey !== undefined) this.#refusals.set(promptKey, { atMs: this.#clock.now(), timing });
   }
 
-  /** How such a request was refused just before, if it was; told once for each refusal. */
+  /** Returns and removes the recent refusal of a request with this key, if any. */
   take(promptKey: string | undefined): RefusalTiming | undefined {
     const refusal = promptKey === undefined ? undefined : this.#refusals.get(promptKey);
     if (promptKey === undefined || refusal === undefined) return undefined;
--- a/packages/slots/src/slot-pool.ts
+++ b/packages/slots/src/slot-pool.ts
@@ -21,44 +21,45 @@
 import { SlotTurnover } from './slot-turnover.js';
 import { WaitingList, type WaitingRequest } from './waiting-list.js';
 
-/** Who leads the pool and what it knows beside its engines; the leases of all engines share the rest. */
+/** Options of a pool. The inherited ones are passed to the order lease of each engine. */
 export interface SlotPoolOptions extends Omit<OrderLeaseOptions, 'backend' | 'onReport'> {
   readonly service: string;
+  /** Which adapters each engine likely has in its host memory. */
   readonly memory: AdapterMemory;
-  /** Parts of the policy that are switched off. */
+  /** Mechanisms that are disabled by a setting. */
   readonly off: SwitchedOff;
-  /** The version of an adapter that was published, 0 if none was. */
+  /** The published version of an adapter, 0 if none was published. */
   readonly adapterVersion: (model: string, adapter: string) => number;
-  /** Whether an engine turned this node away and wants nothing from it for a while; to other nodes it may be good. */
+  /** Whether an engine told this node to back off for a while. It may still accept other nodes. */
   readonly isBackingOff: (backendId: string) => boolean;
-  /** A tenant's part of what all may use, above 0. */
+  /** A tenant's weight in the fair sharing of engines, above 0. */
   readonly tenantWeight: (tenant: string) => number;
 }
 
-/** Nodes tell a new leader within this time what they run on the engines; no adapter gives way before. */
+/** Within this time all nodes report their running requests to a new leader. No adapter is evicted before. */
 const USES_REPORTED_WITHIN_MS = 400;
-/** Changes within this time are looked at together. */
+/** Changes within this time trigger a single placement run. */
 const SCHEDULE_DELAY_MS = 4;
-/** A single request is placed with an index up to this old; what waits is looked at again with a new one. */
+/** A new request may be placed with an index up to this old. A run over all waiting requests builds a new one. */
 const MAX_INDEX_AGE_MS = 8;
-/** Part of its objective for which a request may wait behind prompts at an engine before another one is looked for. */
+/** Backlog of an engine, as a fraction of the request's objective, above which a load on another engine is considered. */
 const SHORT_BACKLOG_SHARE = 0.15;
-/** The same from which a request waits here, where it can still go to another engine. */
+/** Backlog, as a fraction of the objective, above which a request stays in the pool, where it can still get another engine. */
 const LONG_BACKLOG_SHARE = 0.45;
-/** The same for a request that is late in any case: it goes where it holds up few that are not. */
+/** The same limit for a request that is late in any case: it may only go where it delays few requests that are not. */
 const LATE_BACKLOG_SHARE = 0.2;
-/** How long after a request was held back for a long backlog it is looked at again. */
+/** How soon requests held back because of a long backlog are tried again. */
 const BACKLOG_POLL_MS = 40;
-/** A refusal up to this part of the objective counts as early. */
+/** A refusal counts as early if the request's age is at most this fraction of its objective. */
 const EARLY_REFUSAL_SHARE = 0.25;
-/** An engine that failed a request is given less for this long. */
+/** How long an engine is avoided after it failed a request. */
 const AVOID_AFTER_FAILURE_MS = 1500;
-/** A use whose end was never told is over this long after its request's time. */
+/** A granted request whose end was never reported counts as ended this long after its timeout. */
 const LOST_RELEASE_MARGIN_MS = 1000;
 
 /**
- * Hands out the adapter slots of all engines of one service, and orders loads and unloads for the requests
- * that wait. One node runs it at a time; what it grants is kept in memory only.
+ * Grants the adapter slots of all engines of one service to requests, and orders loads and unloads of adapters for
+ * requests that wait. It is active on one node at a time, the pool's leader. Its grants are kept in memory only.
  */
 export class SlotPool {
   readonly #options: SlotPoolOptions;
@@ -87,9 +88,9 @@
     const after = (delayMs: number, action: () => void): void => this.#after(delayMs, action);
     const onChange = (): void => this.schedule();
     const engines = (): Iterable<EngineEntry> => this.#engines.listed();
-    const fetchesUnderWay = (): number => countFetches(this.#engines.all());
+    const fetchesInProgress = (): number => countFetches(this.#engines.all());
     const shared = { clock, after, onChange };
-    this.#adapters = new AdapterLoader({ ...shared, timing, memory, adapterVersion, fetchesUnderWay });
+    this.#adapters = new AdapterLoader({ ...shared, timing, memory, adapterVersion, fetchesInProgress });
     this.#models = new ModelLoader({ ...shared, engines, pollMs: timing.observePeriodMs });
     this.#refused = new RefusedRequests(clock);
     this.#uses = new EngineUses(clock, memory, this.#turnover);
@@ -134,7 +135,7 @@
     });
   }
 
-  /** Takes over the published list of engines. */
+  /** Updates the pool to the published list of engines. */
   setEngines(backends: readonly BackendDescription[], profile: EngineProfile): void {
     this.#models.setRate(profile.storeLoadsPerSecond);
     this.#engines.update(backends, profile);
@@ -143,7 +144,10 @@
     this.schedule();
   }
 
-  /** This node leads the pool from now on: leases that were observed long enough are taken at once. */
+  /**
+   * Called when this node becomes leader of the pool. Engines whose order count was already observed for a whole lease are
+   * taken at once.
+   */
   lead(): void {
     const evictAfterMs = this.#options.clock.now() + USES_REPORTED_WITHIN_MS;
     for (const { lease, slots } of this.#engines.all()) {
@@ -152,18 +156,18 @@
     }
   }
 
-  /** Looks at once for engines that can be taken now. */
+  /** Checks all order leases at once, as when this node may give orders now. */
   wakeLeases(): void {
     for (const { lease } of this.#engines.all()) lease.wake();
   }
 
-  /** All nodes have told what they run, so idle adapters may give way. */
+  /** Called when all nodes have reported their running requests. Idle adapters may be evicted from now on. */
   usesKnown(): void {
     for (const { slots } of this.#engines.all()) slots.evictAfterMs = 0;
     this.schedule();
   }
 
-  /** Takes over a request that another leader granted, or none, and that still runs. */
+  /** Adds a running request that a former leader granted, or that was sent without a grant. */
   adoptUse(use: RunningUse): void {
     const entry = this.#engines.get(use.backendId);
     if (entry === undefined || this.#uses.get(use.requestId) !== undefined || this.#isClosed) return;
@@ -175,17 +179,17 @@
     this.#releaseAfterTimeout(requestId, use.leftMs);
   }
 
-  /** Ends the lease of every engine until it has been observed again. */
+  /** Gives up the order leases of all engines. They have to be observed for a whole lease again. */
   resetLeases(reason: string): void {
     for (const { lease } of this.#engines.all()) lease.reset(reason);
   }
 
-  /** Reads what every engine that is held shows before its next order. */
+  /** Makes every held engine's state be read from a report before its next order. */
   settleLeases(): void {
     for (const { lease } of this.#engines.all()) lease.settle();
   }
 
-  /** Answers everything that waits with a refusal and stops. */
+  /** Refuses all waiting requests and stops. */
   close(): void {
     this.#isClosed = true;
     this.#engines.close();
@@ -193,11 +197,11 @@
     for (const waiting of this.#waiting.all()) this.#refuse(waiting, 'stopping', 0);
   }
 
-  /** Asks for an engine; `decide` is called once, maybe before this returns. */
+  /** Requests an engine. `decide` is called exactly once, possibly before this method returns. */
   acquire(request: SlotRequest, decide: (decision: SlotDecision) => void): void {
     const nowMs = this.#options.clock.now();
     const refusal = this.#refused.take(request.promptKey);
-    // One that was refused late can't be answered in time any more, whatever its new attempt says.
+    // A request that was refused late can no longer meet its objective, so the retry's age is raised to be beyond it.
     const penaltyMs = refusal === 'late' ? request.objectiveMs : 0;
     const arrivedMs = nowMs - request.ageMs - penaltyMs;
     const returned = refusal !== undefined;
@@ -214,7 +218,7 @@
     this.#refusals.scheduleCheck();
   }
 
-  /** An engine names a limit for the requests of all nodes together, or names it no more (undefined). */
+  /** Sets the limit that an engine states for the requests of all nodes together; undefined if it no longer states one. */
   setRateLimit(engineId: string, rule: QuotaRule | undefined): void {
     const entry = this.#engines.get(engineId);
     if (entry === undefined) return;
@@ -222,12 +226,12 @@
     this.schedule();
   }
 
-  /** The client went away, or the request is served in another way. */
+  /** Removes a waiting request whose client left or that is served in another way. */
   cancel(requestId: string): void {
     this.#waiting.remove(requestId);
   }
 
-  /** The first event of a granted request came back from its engine. */
+  /** Called when the first event of a granted request arrives from its engine. */
   started(requestId: string): void {
     const use = this.#uses.get(requestId);
     const entry = use === undefined ? undefined : this.#engines.get(use.engineId);
@@ -237,7 +241,7 @@
     this.schedule();
   }
 
-  /** A granted request has ended. */
+  /** Called when a granted request has ended. */
   release(requestId: string, outcome: UseOutcome): void {
     const use = this.#uses.end(requestId, (id) => this.#engines.get(id));
     if (use === undefined) return;
@@ -261,7 +265,7 @@
     } else if (outcome === 'served' && slot !== undefined) this.#adapters.recordServed(slot);
   }
 
-  /** Gives what waits to what is free, soon: changes that come close together are looked at once. */
+  /** Schedules a placement run for all waiting requests. Calls in quick succession share one run. */
   schedule(): void {
     if (this.#isClosed || this.#isPlacementScheduled) return;
     this.#isPlacementScheduled = true;
@@ -279,7 +283,7 @@
     for (const waiting of this.#waiting.inOrder(nowMs)) this.#place(waiting, index, nowMs);
   }
 
-  /** An index that is a few milliseconds old at the most: building one looks at all slots of all engines. */
+  /** Returns an index that is at most a few milliseconds old, because building one reads all slots of all engines. */
   #index(): PoolIndex {
     const nowMs = this.#options.clock.now();
     const last = this.#lastIndex;
@@ -292,7 +296,7 @@
     return index;
   }
 
-  /** Figures for logs and metrics. */
+  /** Returns the pool's figures for logs and metrics. */
   describe(): PoolFigures {
     return {
       ...describeEngines(this.#engines.listed(), this.#options.clock.now()),
@@ -307,6 +311,7 @@
 
   // --- grants ------------------------------------------------------------------------------------
 
+  /** Grants a waiting request an engine if a suitable one is available. Otherwise orders a load where that helps. */
   #place(waiting: WaitingRequest, index: PoolIndex, nowMs: number): void {
     const { request } = waiting;
     const engine = this.#selector.best(request, index, nowMs);
@@ -317,24 +322,25 @@
       return;
     }
     const slot = engine?.slots.get(adapterKey(request.model, request.adapter));
-    const aheadMs = engine === undefined ? Infinity : startDelayMs(engine, nowMs);
-    // A copy on a second engine takes a slot from another adapter, so it is made for time alone only if some are idle.
+    const backlogMs = engine === undefined ? Infinity : startDelayMs(engine, nowMs);
+    // A copy of the adapter on a second engine takes a slot from another adapter. It is made just to save time only
+    // while enough slots are idle.
     const hasSpare = index.spareShare >= SPARE_SHARE || this.#options.off.has('spare-copies');
     const copyAfterShare = hasSpare ? SHORT_BACKLOG_SHARE : LONG_BACKLOG_SHARE;
     const copyAfterMs = Math.min(request.objectiveMs * copyAfterShare, this.#maxBacklogMs(waiting, nowMs));
-    const isShortBacklog = aheadMs <= copyAfterMs;
+    const isShortBacklog = backlogMs <= copyAfterMs;
     if (engine !== undefined && isShortBacklog && !isCrowded(engine)) {
       this.#grant(waiting, engine, slot, nowMs);
       return;
     }
     if (this.#selector.isLoading(request, index)) waiting.obstacle = 'loading';
-    else waiting.obstacle = this.#loads.start(waiting, index, aheadMs);
+    else waiting.obstacle = this.#loads.start(waiting, index, backlogMs);
     if (engine === undefined) {
       if (this.#waitsForRateLimit(request, index) && waiting.obstacle !== 'loading')
         waiting.obstacle = 'rate-limit';
       return;
     }
-    if (aheadMs <= this.#maxBacklogMs(waiting, nowMs)) {
+    if (backlogMs <= this.#maxBacklogMs(waiting, nowMs)) {
       this.#grant(waiting, engine, slot, nowMs);
       return;
     }
@@ -342,21 +348,24 @@
     this.#scheduleRetry();
   }
 
-  /** Whether an engine that has what the request needs takes no more at present; it is looked at again as units come. */
+  /**
+   * Whether an engine that could run the request has reached its rate limit. If so, schedules another attempt, since no
+   * event tells when the limit allows a request again.
+   */
   #waitsForRateLimit(request: SlotRequest, index: PoolIndex): boolean {
-    const isLimited = this.#selector.isRateLimited(request, index);
-    if (isLimited) this.#scheduleRetry();
-    return isLimited;
+    const isRateLimited = this.#selector.isRateLimited(request, index);
+    if (isRateLimited) this.#scheduleRetry();
+    return isRateLimited;
   }
 
-  /** Prompts ahead with which a request still goes to an engine. */
+  /** Longest backlog of an engine with which a request is still sent there. */
   #maxBacklogMs({ request, arrivedMs }: WaitingRequest, nowMs: number): number {
     const leftMs = this.#waiting.latestStartAgeMs(request) - (nowMs - arrivedMs);
     const latestMs = request.objectiveMs * LATE_BACKLOG_SHARE;
     return Math.max(latestMs, Math.min(leftMs, request.objectiveMs * LONG_BACKLOG_SHARE));
   }
 
-  /** Backlogs shrink without an event, so requests that are held back for one are looked at again. */
+  /** Schedules a placement run without an event: no event tells that a backlog shrank or a rate limit allows more. */
   #scheduleRetry(): void {
     if (this.#isRetryScheduled) return;
     this.#isRetryScheduled = true;
@@ -383,12 +392,12 @@
     waiting.decide({ kind: 'granted', requestId: request.id, backendId: id, address, ...rateOf(engine) });
   }
 
-  /** A user of a slot that vanished without a word must not keep it for ever. */
+  /** Releases a granted request some time after its timeout, so that a node that disappeared does not keep its slots. */
   #releaseAfterTimeout(requestId: string, leftMs: number): void {
     this.#after(Math.max(leftMs, 0) + LOST_RELEASE_MARGIN_MS, () => this.release(requestId, 'cancelled'));
   }
 
-  /** The engine did not have what it was thought to have. */
+  /** Corrects the believed state of an engine that did not have the requested model or adapter. */
   #handleMissing(entry: EngineEntry, slot: AdapterSlot | undefined, nowMs: number): void {
     if (slot !== undefined) {
       this.#adapters.handleMissing(entry, slot);
@@ -408,7 +417,7 @@
     waiting.decide({ kind: 'refused', requestId: waiting.request.id, reason, retryAfterMs });
   }
 
-  /** One line for each decision about a request: its age, what it waited for, and what came of it. */
+  /** Logs the decision on a request with its age and what it waited for. */
   #logDecision(event: string, waiting: WaitingRequest, fields: Record<string, string | number>): void {
     const { request, arrivedMs, obstacle, returned } = waiting;
     const ageMs = Math.round(this.#options.clock.now() - arrivedMs);
@@ -426,7 +435,7 @@
   }
 }
 
-/** What a grant tells of the engine's limit. */
+/** The engine's rate limit as stated in a grant: null if a former limit has ended, absent if there never was one. */
 function rateOf({ rate }: EngineEntry): { ratePerSecond?: number | null } {
   if (rate.rule !== undefined) return { ratePerSecond: rate.rule.ratePerSecond };
   return rate.hasEnded ? { ratePerSecond: null } : {};
--- a/packages/slots/src/slot-request.ts
+++ b/packages/slots/src/slot-request.ts
@@ -1,32 +1,33 @@
-/** A request that wants to run on an engine of a pool. Times are in milliseconds. */
+/** A request for an engine of a pool. Times are in milliseconds. */
 export interface SlotRequest {
-  /** Unique among requests and their attempts. */
+  /** Unique per attempt of a request. */
   readonly id: string;
-  /** The client's own name for the request, under which logs tell of it. */
+  /** The client's own id of the request, used in logs. */
   readonly traceId: string;
   readonly model: string;
   /** Undefined for the base model itself. */
   readonly adapter: string | undefined;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Name of the tenant for whom it runs; undefined where requests run for nobody in particular. */
+  /** The tenant it runs for; undefined if it belongs to no tenant. */
   readonly tenant: string | undefined;
+  /** Target for the time from the arrival of the client's request to its first event. */
   readonly objectiveMs: number;
   /** Time since the client's request arrived. */
   readonly ageMs: number;
-  /** Time after which an answer is of no use, counted as `ageMs` is. */
+  /** Age after which an answer is of no use. */
   readonly timeoutMs: number;
-  /** Time after which the client is gone if it got nothing, counted in the same way. */
+  /** Age after which the client gives up if it has received nothing. */
   readonly startWithinMs: number;
-  /** Engines that it was sent to before. */
+  /** Ids of engines that must not get the request, such as those it was sent to before. */
   readonly excluded: readonly string[];
-  /** Length of the prompt, which an engine reads before its first event. */
+  /** Length of the prompt, which the engine processes before its first event. */
   readonly promptTokens: number;
-  /** The same for a request that is sent again after a refusal; undefined if nothing tells. */
+  /** Equal for a request and its retry after a refusal, to recognize retries; undefined if they can't be recognized. */
   readonly promptKey: string | undefined;
 }
 
-/** Why no engine was given. */
+/** Why a request was refused an engine. */
 export type RefusalReason = 'no-slot-in-time' | 'no-engine' | 'stopping';
 
 export type SlotDecision =
@@ -36,35 +37,35 @@
       readonly backendId: string;
       readonly address: string;
       /**
-       * Requests a second within which the engine was granted, as it names such a limit; null where it named one that has ended;
-       * absent if the granting node has heard of none.
+       * The engine's limit in requests per second, within which the grant was made. Null if a former limit has ended,
+       * absent if the granting node knows of no limit.
        */
       readonly ratePerSecond?: number | null;
-      /** Revision of the engine's entry as the granting node knows it; absent if that one has lost sight of it. */
+      /** Revision of the engine's published entry as known to the granting node; absent if it no longer knows the entry. */
       readonly entryRevision?: number;
-      /** Era of the publishing store in which that revision counts; absent from a build that reads none. */
+      /** Era of the publishing store to which that revision belongs; absent from builds that do not read eras. */
       readonly entryEra?: number;
     }
   | {
       readonly kind: 'refused';
       readonly requestId: string;
       readonly reason: RefusalReason;
-      /** When a slot may be free. */
+      /** Estimated time until a slot is free. */
       readonly retryAfterMs: number;
     };
 
-/** A request that runs on an engine, as the node that sent it there tells a new leader. */
+/** A request that runs on an engine, as reported to a new leader by the node that sent it there. */
 export interface RunningUse {
   readonly requestId: string;
   readonly backendId: string;
   readonly model: string;
   readonly adapter: string | undefined;
   readonly promptTokens: number;
-  /** Whether the engine has begun its answer. */
+  /** Whether the first event of the answer has arrived. */
   readonly started: boolean;
-  /** Milliseconds after which it is over in any case. */
+  /** Milliseconds until the request times out. */
   readonly leftMs: number;
 }
 
-/** How a request that was granted a slot ended, as far as the engine is concerned. */
+/** How a granted request ended, from the engine's point of view. `not-present`: the engine lacked the model or adapter. */
 export type UseOutcome = 'served' | 'not-present' | 'refused' | 'failed' | 'cancelled';
--- a/packages/slots/src/slot-turnover.ts
+++ b/packages/slots/src/slot-turnover.ts
@@ -1,10 +1,11 @@
 import type { Clock } from '@canvasridge/clock';
 
+/** Weight of the latest gap in the exponential moving average. */
 const SMOOTHING_FACTOR = 0.1;
 const INITIAL_GAP_MS = 50;
 const MAX_GAP_MS = 2000;
 
-/** Mean time between two moments at which a slot of the pool becomes idle. */
+/** Measures the mean time between two slots of the pool becoming idle. */
 export class SlotTurnover {
   readonly #clock: Clock;
   #lastMs: number | undefined;
@@ -14,6 +15,7 @@
     this.#clock = clock;
   }
 
+  /** Records that a slot became idle. */
   recordIdleSlot(): void {
     const nowMs = this.#clock.now();
     if (this.#lastMs !== undefined) {
@@ -24,13 +26,14 @@
   }
 
   /**
-   * The same, or the time for which none has become idle where that is longer.
-   * @param sinceMs when the first of those that wait began to wait
+   * The mean gap, or the time since a slot last became idle if that is longer.
+   * @param sinceMs arrival of the oldest waiting request; earlier time without an idle slot does not count
    */
   currentGapMs(sinceMs: number, nowMs: number): number {
     return Math.max(this.#gapMs, nowMs - Math.max(this.#lastMs ?? -Infinity, sinceMs));
   }
 
+  /** The mean gap, in milliseconds. */
   meanGapMs(): number {
     return this.#gapMs;
   }
--- a/packages/slots/src/store-load-budget.ts
+++ b/packages/slots/src/store-load-budget.ts
@@ -1,10 +1,11 @@
 import type { Clock } from '@canvasridge/clock';
 
-/** Part of the weight store's rate that is used: another node may have used some of it just before. */
+/** Fraction of the weight store's rate that is used, because another node may have used some of it just before. */
 const USED_RATE_SHARE = 0.8;
+/** Loads that may start at once. */
 const BURST = 2;
 
-/** Limits how often whole models are fetched from the weight store. */
+/** Limits the rate at which whole models are fetched from the weight store, with a token bucket. */
 export class StoreLoadBudget {
   readonly #clock: Clock;
   #ratePerMs = 0;
@@ -16,11 +17,13 @@
     this.#refilledMs = clock.now();
   }
 
+  /** Sets the weight store's rate, in loads per second. */
   setRate(perSecond: number): void {
     this.#refill();
     this.#ratePerMs = (USED_RATE_SHARE * perSecond) / 1000;
   }
 
+  /** Takes one load from the budget. Returns false if it is used up. */
   take(): boolean {
     this.#refill();
     if (this.#tokens < 1) return false;
--- a/packages/slots/src/timing.ts
+++ b/packages/slots/src/timing.ts
@@ -1,15 +1,16 @@
-/** Periods of giving orders and of handing out slots, in milliseconds. */
+/** Time settings of order leases and adapter loads, in milliseconds. */
 export interface SlotTiming {
-  /** Two holders may not take turns at one engine within this time. */
+  /** Minimum time between orders of two different holders to the same engine. */
   readonly leaseMs: number;
-  /** Added to the lease before a new holder gives its first order: lag of reports and timers. */
+  /** Added to the lease before a new holder's first order, to cover the lag of reports and timers. */
   readonly leaseMarginMs: number;
-  /** Pause between two reports while a holder waits for its turn. */
+  /** Pause between two reports while waiting to become holder. */
   readonly observePeriodMs: number;
-  /** After an order of unknown outcome, a report younger than this may not show it yet. */
+  /** A report taken sooner than this after an order of unknown outcome may not show the order's effect yet. */
   readonly settleMs: number;
-  /** First guess of how long an adapter takes from the weight store, and from the engine's own memory. */
+  /** Initial estimate of how long an adapter takes to load from the weight store. */
   readonly coldLoadMs: number;
+  /** Initial estimate of how long an adapter takes to load from the engine's host memory. */
   readonly warmLoadMs: number;
 }
 
--- a/packages/slots/src/waiting-list.ts
+++ b/packages/slots/src/waiting-list.ts
@@ -1,25 +1,25 @@
 import type { SwitchedOff } from './mechanisms.js';
 import type { SlotDecision, SlotRequest } from './slot-request.js';
 
-/** Part of the objective that is kept for the way of the first event, and for what is not foreseen. */
+/** Fraction of the objective reserved for the way back of the first event and for unforeseen delays. */
 const FIRST_EVENT_MARGIN_SHARE = 0.12;
-/** A request whose prompt takes nearly its whole objective to be read still has this part of it to be started. */
+/** A request has at least this fraction of its objective to be started, even if its prefill takes nearly all of it. */
 const MIN_START_SHARE = 0.25;
 
-/** A request of one priority lower may start this much later than others that arrived with it. */
+/** Each lower priority level moves the start deadline back by this much. */
 const MS_PER_PRIORITY_LEVEL = 60;
-/** One that comes back after a refusal goes this much before others: a second refusal costs more. */
+/** The start deadline of a retry after a refusal is moved forward by this much, because a second refusal costs more. */
 const RETURNED_BOOST_MS = 150;
 
-/** How tenants share what becomes free. */
+/** How tenants share the capacity that becomes free. */
 export interface TenantSharing {
-  /** Mean time between two moments at which one that waits can start, in milliseconds. */
+  /** Mean time between two starts of waiting requests, in milliseconds. */
   readonly gapMs: () => number;
-  /** A tenant's part beside others, above 0: what it may use by its quota, where it has one. */
+  /** A tenant's weight relative to others, above 0; its quota if it has one. */
   readonly weightOf: (tenant: string) => number;
 }
 
-/** A request that waits, with what its turn goes by. */
+/** A waiting request with its sort keys. */
 interface QueueEntry {
   readonly waiting: WaitingRequest;
   readonly late: number;
@@ -39,48 +39,46 @@
   readonly request: SlotRequest;
   /** Arrival of the client's request on this node's clock. */
   readonly arrivedMs: number;
-  /** It was refused before; a second refusal would be worse than a late answer. */
+  /** Whether it is a retry after a refusal. A second refusal would be worse than a late answer. */
   readonly returned: boolean;
   readonly decide: (decision: SlotDecision) => void;
-  /** Why it was not given an engine when it was last looked at. */
+  /** Why it got no engine at the last attempt to place it. */
   obstacle: WaitObstacle;
 }
 
 /**
- * What a request waits for: `loading`: its adapter, which is on its way; `backlog`: an engine that has it and is
- * behind; `no-room`: a slot, as no engine can take another adapter; `too-late`: an adapter that is not fetched,
- * since that would take too long or another engine has it in memory; `fetch-limit`: other fetches to end; `rate-limit`: an
- * engine that has it and takes no more at present.
+ * Why a request waits. `loading`: its adapter is being loaded. `backlog`: the engines that have the adapter have too many
+ * prompts queued. `no-room`: no engine can load another adapter. `too-late`: the adapter is not fetched, because that
+ * would take too long or another engine has it in host memory. `fetch-limit`: too many other fetches are in progress.
+ * `rate-limit`: an engine that could run it has reached its rate limit. `no-engine`: no engine is available for a request
+ * to the base model.
  */
 export type WaitObstacle =
   'none' | 'rate-limit' | 'no-engine' | 'loading' | 'backlog' | 'no-room' | 'too-late' | 'fetch-limit';
 
 /**
- * Requests that wait, most urgent first: those that can still meet their objective before those that cannot,
- * each by the moment until which it has to start. Priority shifts that moment only a little: with strict
- * priority the long streams of one kind took all slots, and a kind of short ones waited until it was late. Tenants take
- * turns where one of them would fill the list.
+ * The requests that wait for a slot, in order of urgency. Requests that can still meet their objective come before those
+ * that cannot, each group in order of start deadline. Priority moves the deadline only a little: with strict priority,
+ * long streams of one request kind took all slots while short requests of another kind waited until they were late.
+ * Tenants are scheduled fairly, so that one of them cannot crowd out the others.
  */
 export class WaitingList {
   readonly #byId = new Map<string, WaitingRequest>();
   readonly #prefillMs: (tokens: number) => number;
   readonly #disabled: SwitchedOff;
   readonly #sharing: TenantSharing;
-  /** By tenant: until when the turns that it had of late last. */
+  /** By tenant: the time up to which its recent grants count, its virtual clock. */
   readonly #virtualTimeMs = new Map<string, number>();
-  /** Time for which one turn of a tenant counts, by tenant; empty while fewer than two wait. */
+  /** By tenant: how far one grant advances its virtual clock. Empty while fewer than two tenants wait. */
   #virtualCostMs: ReadonlyMap<string, number> = new Map();
 
-  /**
-   * @param readMs how long a prompt of a length takes to be read
-   * @param sharing how tenants share what becomes free
-   */
+  /** @param prefillMs estimates how long an engine takes to process a prompt of this length */
   constructor(
-    readMs: (tokens: number) => number,
+    prefillMs: (tokens: number) => number,
     disabled: SwitchedOff = new Set(),
     sharing: TenantSharing = { gapMs: () => 0, weightOf: () => 1 },
   ) {
-    this.#prefillMs = readMs;
+    this.#prefillMs = prefillMs;
     this.#disabled = disabled;
     this.#sharing = sharing;
   }
@@ -103,6 +101,7 @@
     return this.#byId.get(id);
   }
 
+  /** Returns the requests, most urgent first. */
   inOrder(nowMs: number): WaitingRequest[] {
     const entries = [...this.#byId.values()].map((waiting) => ({
       waiting,
@@ -115,7 +114,7 @@
     return entries.map(({ waiting }) => waiting);
   }
 
-  /** A request is given an engine: its tenant has had its turn. */
+  /** Removes a request that got an engine and advances the virtual clock of its tenant. */
   granted(id: string, nowMs: number): void {
     const waiting = this.remove(id);
     const tenant = waiting?.request.tenant;
@@ -125,9 +124,10 @@
   }
 
   /**
-   * Puts tenants in turn where several wait, by a virtual clock each: a request goes as if the ones of its tenant that were
-   * granted of late, and those before it here, had each waited for one of every tenant. With few waiting this moves nothing
-   * by more than some ms; a tenant that fills the list waits behind itself. Returns whether anything was moved.
+   * Applies weighted fair queueing by virtual clocks if several tenants wait. The start deadline of each request is
+   * delayed by one virtual cost for each recent grant of its tenant and for each of the tenant's requests before it. With
+   * few requests waiting, the delays are a few milliseconds; a tenant that floods the list mostly delays itself. Returns
+   * whether delays were applied.
    */
   #delayByTenant(entries: QueueEntry[], nowMs: number): boolean {
     this.#virtualCostMs = this.#virtualCosts(entries);
@@ -147,7 +147,7 @@
     return true;
   }
 
-  /** A turn counts for the time in which all that wait have theirs, a tenant of twice the weight twice. */
+  /** The virtual cost of one grant by tenant: the time for one grant to each waiting tenant, divided by relative weight. */
   #virtualCosts(entries: readonly QueueEntry[]): ReadonlyMap<string, number> {
     const weights = new Map<string, number>();
     for (const { waiting } of entries) {
@@ -160,7 +160,7 @@
     return new Map([...weights].map(([tenant, weight]) => [tenant, (gapMs * total) / weight]));
   }
 
-  /** Age at which a request has to be sent to an engine that is free, to meet its objective. */
+  /** Age at which a request has to be sent to an idle engine at the latest to meet its objective. */
   latestStartAgeMs({ objectiveMs, promptTokens }: SlotRequest): number {
     const idealMs = objectiveMs * (1 - FIRST_EVENT_MARGIN_SHARE) - this.#prefillMs(promptTokens);
     return Math.max(idealMs, objectiveMs * MIN_START_SHARE);
@@ -174,7 +174,7 @@
     return !this.#disabled.has('late-last') && nowMs - arrivedMs > this.latestStartAgeMs(request);
   }
 
-  /** Moment until which a request has to start, moved by its urgency. */
+  /** Time by which a request has to start, shifted by priority and for retries. */
   #startDeadlineMs({ request, arrivedMs, returned }: WaitingRequest): number {
     const boostMs = returned && !this.#disabled.has('returned-first') ? RETURNED_BOOST_MS : 0;
     return arrivedMs + this.latestStartAgeMs(request) + request.priority * MS_PER_PRIORITY_LEVEL - boostMs;
