--- a/packages/slots/src/fetch-window.ts
+++ b/packages/slots/src/fetch-window.ts
@@ -7,7 +7,7 @@
 const INITIAL_SIZE = 12;
 /** Minimum window: every weight store that users described serves this many fetches at full speed. */
 const MIN_SIZE = 8;
-/** A fetch counts as delayed if it takes this multiple of the baseline. Less is expected, as requests come slightly early. */
+/** A fetch counts as delayed from this multiple of the baseline on. Less can be due to a tight load time estimate. */
 const DELAYED_FACTOR = 1.3;
 /** Relative growth of the baseline per ms, so that a single exceptionally fast fetch is forgotten within minutes. */
 const BASELINE_DRIFT_PER_MS = 2e-6;
--- a/packages/slots/src/load-placement.ts
+++ b/packages/slots/src/load-placement.ts
@@ -126,7 +126,7 @@
   const recentMs = request.disabled.has('recent-work')
     ? 0
     : RECENT_WORK_COST * slots.backlog.recentWorkMs(request.nowMs);
-  const aheadMs = slots.backlog.remainingMs(request.nowMs);
-  const startMs = request.disabled.has('overlapped-load') ? loadMs + aheadMs : Math.max(loadMs, aheadMs);
+  const backlogMs = slots.backlog.remainingMs(request.nowMs);
+  const startMs = request.disabled.has('overlapped-load') ? loadMs + backlogMs : Math.max(loadMs, backlogMs);
   return startMs + evictionMs + busyMs + recentMs;
 }
--- a/packages/slots/src/load-starter.ts
+++ b/packages/slots/src/load-starter.ts
@@ -38,9 +38,9 @@
 
   /**
    * Orders the load of a request's adapter if possible. Returns what the request waits for now.
-   * @param aheadMs shortest backlog of the engines that have the adapter; a load must be quicker than that
+   * @param backlogMs shortest backlog of the engines that have the adapter; a load must be quicker than that
    */
-  start(waiting: WaitingRequest, index: PoolIndex, aheadMs: number): WaitObstacle {
+  start(waiting: WaitingRequest, index: PoolIndex, backlogMs: number): WaitObstacle {
     const { engines, adapters, memory, adapterPopularity: popularity } = this.#options;
     const { model, adapter } = waiting.request;
     if (adapter === undefined || index.loadTargets.length === 0) return 'no-room';
@@ -48,7 +48,7 @@
       index.loadTargets.filter((entry) => this.#isCandidate(entry, waiting.request) && canLoadMore(entry)),
     );
     if (candidates.length === 0) return 'no-room';
-    const loadRequest = this.#describeLoad(waiting, adapterKey(model, adapter), index, aheadMs);
+    const loadRequest = this.#describeLoad(waiting, adapterKey(model, adapter), index, backlogMs);
     const placement = placeLoad(
       candidates.map((entry) => entry.slots),
       loadRequest,
@@ -63,7 +63,7 @@
     return 'loading';
   }
 
-  #describeLoad(waiting: WaitingRequest, key: string, index: PoolIndex, aheadMs: number): LoadRequest {
+  #describeLoad(waiting: WaitingRequest, key: string, index: PoolIndex, backlogMs: number): LoadRequest {
     const { clock, adapters, waiting: list, disabled } = this.#options;
     const { request, arrivedMs } = waiting;
     const nowMs = clock.now();
@@ -73,7 +73,7 @@
       nowMs,
       ageMs: nowMs - arrivedMs,
       latestStartAgeMs: list.latestStartAgeMs(request),
-      maxStartDelayMs: aheadMs,
+      maxStartDelayMs: backlogMs,
       hasWarmEngine: this.#hasWarmEngine(request, key),
       mayFetch: index.fetches < adapters.fetchWindow,
       hasSpare: index.spareShare >= SPARE_SHARE,
--- a/packages/slots/src/order-lease.ts
+++ b/packages/slots/src/order-lease.ts
@@ -61,9 +61,9 @@
 }
 
 /**
- * `observing`: another node may be the holder, so reports are read until the count has not changed for a lease.
- * `held`: this node is the holder. `settling`: the result of the holder's last order is unclear, so its effect is read
- * from a report before the next order. `closed`: final.
+ * `observing`: another node may be the holder, so reports are read until `count` has not changed for a lease since
+ * `sinceMs`. `held`: this node is the holder. `settling`: this node is the holder but does not know the engine's state for
+ * certain, for example after an unanswered order, so it reads a report before its next order. `closed`: final.
  */
 type LeaseState =
   | { readonly kind: 'observing'; readonly count: number | undefined; readonly sinceMs: number }
@@ -361,6 +361,7 @@
     this.#handleForeignOrders(report.orderCount, askedMs, state.possibleCounts?.join(' or '));
   }
 
+  /** @param how why this node may become holder, for the log */
   #becomeHolder(report: EngineReport, askedFleetMs: number, how: string): void {
     if (how !== 'settled') {
       this.#hasOrdered = false;
--- a/packages/slots/src/prompt-backlog.ts
+++ b/packages/slots/src/prompt-backlog.ts
@@ -45,7 +45,7 @@
   }
 
   /** Records that the first event of a request arrived, which shows that its prompt was processed. */
-  recordRead(requestId: string, nowMs: number): void {
+  recordProcessed(requestId: string, nowMs: number): void {
     const tokens = this.#take(requestId);
     if (tokens === undefined) return;
     this.speed.observe(tokens, Math.max(nowMs - this.#progressMs, 0));
--- a/packages/slots/src/slot-pool.ts
+++ b/packages/slots/src/slot-pool.ts
@@ -184,7 +184,7 @@
     for (const { lease } of this.#engines.all()) lease.reset(reason);
   }
 
-  /** Makes every held engine's state be read from a report before its next order. */
+  /** Re-reads the state of every held engine from a report before its next order. */
   settleLeases(): void {
     for (const { lease } of this.#engines.all()) lease.settle();
   }
@@ -236,7 +236,7 @@
     const use = this.#uses.get(requestId);
     const entry = use === undefined ? undefined : this.#engines.get(use.engineId);
     if (use === undefined || entry === undefined) return;
-    entry.slots.backlog.recordRead(requestId, this.#options.clock.now());
+    entry.slots.backlog.recordProcessed(requestId, this.#options.clock.now());
     if (use.slot !== undefined) this.#adapters.recordServed(use.slot);
     this.schedule();
   }
@@ -257,7 +257,7 @@
     slot: AdapterSlot | undefined,
   ): void {
     const nowMs = this.#options.clock.now();
-    if (outcome === 'served') entry.slots.backlog.recordRead(requestId, nowMs);
+    if (outcome === 'served') entry.slots.backlog.recordProcessed(requestId, nowMs);
     else entry.slots.backlog.drop(requestId);
     if (outcome === 'not-present') this.#handleMissing(entry, slot, nowMs);
     else if (outcome === 'failed' || outcome === 'refused') {
@@ -361,8 +361,8 @@
   /** Longest backlog of an engine with which a request is still sent there. */
   #maxBacklogMs({ request, arrivedMs }: WaitingRequest, nowMs: number): number {
     const leftMs = this.#waiting.latestStartAgeMs(request) - (nowMs - arrivedMs);
-    const latestMs = request.objectiveMs * LATE_BACKLOG_SHARE;
-    return Math.max(latestMs, Math.min(leftMs, request.objectiveMs * LONG_BACKLOG_SHARE));
+    const lateLimitMs = request.objectiveMs * LATE_BACKLOG_SHARE;
+    return Math.max(lateLimitMs, Math.min(leftMs, request.objectiveMs * LONG_BACKLOG_SHARE));
   }
 
   /** Schedules a placement run without an event: no event tells that a backlog shrank or a rate limit allows more. */
--- a/packages/slots/src/waiting-list.ts
+++ b/packages/slots/src/waiting-list.ts
@@ -22,6 +22,7 @@
 /** A waiting request with its sort keys. */
 interface QueueEntry {
   readonly waiting: WaitingRequest;
+  /** 1 if the request can no longer meet its objective, else 0. */
   readonly late: number;
   startDeadlineMs: number;
 }
@@ -118,9 +119,9 @@
   granted(id: string, nowMs: number): void {
     const waiting = this.remove(id);
     const tenant = waiting?.request.tenant;
-    const turnMs = tenant === undefined ? undefined : this.#virtualCostMs.get(tenant);
-    if (tenant === undefined || turnMs === undefined) return;
-    this.#virtualTimeMs.set(tenant, Math.max(this.#virtualTimeMs.get(tenant) ?? 0, nowMs) + turnMs);
+    const costMs = tenant === undefined ? undefined : this.#virtualCostMs.get(tenant);
+    if (tenant === undefined || costMs === undefined) return;
+    this.#virtualTimeMs.set(tenant, Math.max(this.#virtualTimeMs.get(tenant) ?? 0, nowMs) + costMs);
   }
 
   /**
@@ -139,10 +140,10 @@
     for (const entry of entries) {
       const { tenant } = entry.waiting.request;
       if (tenant === undefined) continue;
-      const aheadMs =
+      const tenantDelayMs =
         delayByTenantMs.get(tenant) ?? Math.max((this.#virtualTimeMs.get(tenant) ?? 0) - nowMs, 0);
-      delayByTenantMs.set(tenant, aheadMs + (this.#virtualCostMs.get(tenant) ?? 0));
-      entry.startDeadlineMs += aheadMs;
+      delayByTenantMs.set(tenant, tenantDelayMs + (this.#virtualCostMs.get(tenant) ?? 0));
+      entry.startDeadlineMs += tenantDelayMs;
     }
     return true;
   }
--- a/packages/slots/test/backing-off.test.ts
+++ b/packages/slots/test/backing-off.test.ts
@@ -5,10 +5,12 @@
 import { newRequest as request } from './new-request.js';
 import { SimulatedEngine } from './simulated-engines.js';
 
+/** By this time a new pool holds the order leases of its engines. */
 const HELD_MS = 5000;
+/** Time in which an adapter is loaded. */
 const LOADED_MS = 600;
 
-test('no adapter is loaded onto an engine that wants nothing from the leader, and one that is there is still granted', async (t) => {
+test('no adapter is loaded onto an engine that told the leader to back off, but its loaded adapters are still granted', async (t) => {
   const clock = new VirtualClock();
   const engines = [new SimulatedEngine(clock, 'e1'), new SimulatedEngine(clock, 'e2')];
   let backingOff = 'e2';
@@ -35,7 +37,7 @@
   pool.close();
 });
 
-test('a request that may be given to no engine is refused at once, and not held until its time is over', async (t) => {
+test('a request that excludes all engines is refused at once instead of being held until it times out', async (t) => {
   const clock = new VirtualClock();
   const engines = [new SimulatedEngine(clock, 'e1'), new SimulatedEngine(clock, 'e2')];
   const pool = newPool(clock, engines);
--- a/packages/slots/test/engine-speeds.test.ts
+++ b/packages/slots/test/engine-speeds.test.ts
@@ -5,8 +5,10 @@
 import { SimulatedPrefill } from './simulated-prefill.js';
 import { MODEL, SimulatedEngine } from './simulated-engines.js';
 
+/** By this time a new pool holds the order leases of its engines. */
 const HELD_MS = 5000;
 const OBJECTIVE_MS = 800;
+/** How long requests are sent. */
 const RUN_MS = 30_000;
 
 interface RunResult {
@@ -16,12 +18,15 @@
   readonly violations: readonly string[];
 }
 
-/** Offers a pool a part of what its engines can read, with a few wanted adapters and many rare ones. */
+/**
+ * Loads a pool with a fraction of what its engines can process, with a few popular adapters and many rare ones.
+ * @param speeds prefill time per token of each engine, in milliseconds
+ */
 async function runLoad(speeds: readonly number[], loadShare: number, seed: number): Promise<RunResult> {
   const clock = new VirtualClock();
   const random = new Random(seed);
   const engines = speeds.map((_, index) => new SimulatedEngine(clock, `e${index}`));
-  const readers = new Map(
+  const prefillByEngine = new Map(
     engines.map(({ description }, index) => [
       description.id,
       new SimulatedPrefill(clock, speeds[index] ?? 1),
@@ -31,15 +36,15 @@
   await clock.runUntil(HELD_MS);
   const tokensPerMs = speeds.reduce((sum, msPerToken) => sum + 1 / msPerToken, 0);
   const sent = new Map<string, number>();
-  let asked = 0;
+  let requested = 0;
   let inTime = 0;
   while (clock.now() < HELD_MS + RUN_MS) {
     const promptTokens = 500 + random.integer(3000);
     const arrivedMs = clock.now();
-    asked += 1;
+    requested += 1;
     const request: SlotRequest = {
-      id: `r${asked}`,
-      traceId: `t${asked}`,
+      id: `r${requested}`,
+      traceId: `t${requested}`,
       model: MODEL,
       adapter: `a${Math.floor(random.exponential(4))}`,
       priority: 1,
@@ -56,7 +61,7 @@
       if (decision.kind !== 'granted') return;
       const { backendId } = decision;
       sent.set(backendId, (sent.get(backendId) ?? 0) + 1);
-      readers.get(backendId)?.process(promptTokens, () => {
+      prefillByEngine.get(backendId)?.process(promptTokens, () => {
         if (clock.now() - arrivedMs <= OBJECTIVE_MS) inTime += 1;
         pool.started(request.id);
         clock.setTimer(100, () => pool.release(request.id, 'served'));
@@ -67,7 +72,7 @@
   await clock.runUntil(clock.now() + 3000);
   pool.close();
   const violations = engines.flatMap((engine) => engine.violations);
-  return { inTimeShare: inTime / asked, sent, violations };
+  return { inTimeShare: inTime / requested, sent, violations };
 }
 
 for (const speeds of [
@@ -76,14 +81,14 @@
   [0.15, 0.15, 0.15],
   [0.01, 0.04, 0.16],
 ]) {
-  test(`engines that read a token in ${speeds.join(', ')} ms serve nearly all in time at half of their load`, async (t) => {
+  test(`engines that process a token in ${speeds.join(', ')} ms serve nearly all requests in time at half load`, async (t) => {
     const played = await runLoad(speeds, 0.5, 3);
     t.true(played.inTimeShare > 0.85, `${played.inTimeShare}`);
     t.deepEqual(played.violations, []);
   });
 }
 
-test('a fast engine is given more than a slow one', async (t) => {
+test('a fast engine gets more requests than a slow one', async (t) => {
   const { sent } = await runLoad([0.01, 0.04, 0.16], 0.5, 5);
   t.true((sent.get('e0') ?? 0) > 2 * (sent.get('e2') ?? 0), JSON.stringify([...sent]));
 });
--- a/packages/slots/test/fetch-window.test.ts
+++ b/packages/slots/test/fetch-window.test.ts
@@ -1,11 +1,13 @@
-/** How many adapters are fetched from the weight store at the same time. */
 import { VirtualClock } from '@canvasridge/clock';
 import test from 'ava';
 import { FetchWindow } from '../src/fetch-window.js';
 
 const BASELINE_MS = 250;
 
-/** A store that serves some number of fetches in the usual time, and more in proportion longer. */
+/**
+ * Simulates a store that serves up to `capacity` fetches in the baseline time and more in proportionally longer time. Each
+ * round uses the whole window. Returns the window size of each round.
+ */
 async function fetchInRounds(
   window: FetchWindow,
   clock: VirtualClock,
@@ -16,7 +18,7 @@
   for (let round = 0; round < rounds; round += 1) {
     const underWay = window.size;
     const tookMs = BASELINE_MS * Math.max(underWay / capacity, 1);
-    // Requests come a little too early, again and again, as the guess is tight.
+    // Requests repeatedly come slightly too early, because the load time estimate is tight.
     for (let ageMs = BASELINE_MS; ageMs < tookMs; ageMs += 50) {
       for (let fetch = 0; fetch < underWay; fetch += 1) window.recordMissing(String(fetch), ageMs, underWay);
     }
@@ -28,7 +30,7 @@
 }
 
 for (const capacity of [8, 32, 100]) {
-  test(`the window finds a store that serves ${capacity} at full speed, and stays near it`, async (t) => {
+  test(`the window converges on the capacity of a store that serves ${capacity} fetches at full speed`, async (t) => {
     const clock = new VirtualClock();
     const sizes = await fetchInRounds(new FetchWindow(clock, BASELINE_MS), clock, capacity, 60);
     const last = sizes.slice(-30);
@@ -37,14 +39,14 @@
   });
 }
 
-test('a window that is not used does not grow', (t) => {
+test('a window that is not in use does not grow', (t) => {
   const window = new FetchWindow(new VirtualClock(), BASELINE_MS);
   const before = window.size;
   for (let fetches = 0; fetches < 100; fetches += 1) window.recordArrival(BASELINE_MS, 1);
   t.is(window.size, before);
 });
 
-test('signs that come together shrink it once', (t) => {
+test('delayed fetches within one round shrink the window only once', (t) => {
   const window = new FetchWindow(new VirtualClock(), BASELINE_MS);
   const before = window.size;
   for (let fetch = 0; fetch < 12; fetch += 1) window.recordMissing(String(fetch), 500, 12);
@@ -54,7 +56,7 @@
   t.is(window.size, once);
 });
 
-test('one fetch that stays away tells of its engine, and does not shrink it', async (t) => {
+test('single fetches that stay missing are due to their engine and do not shrink the window', async (t) => {
   const clock = new VirtualClock();
   const window = new FetchWindow(clock, BASELINE_MS);
   const before = window.size;
@@ -66,7 +68,7 @@
   t.is(window.size, before);
 });
 
-test('fetches that are late while others come in time tell of their engines, however many they are', async (t) => {
+test('any number of late fetches does not shrink the window while others come in time', async (t) => {
   const clock = new VirtualClock();
   const window = new FetchWindow(clock, BASELINE_MS);
   for (let round = 0; round < 60; round += 1) {
@@ -80,7 +82,7 @@
   t.true(window.size > 100, `size ${window.size}`);
 });
 
-test('a window that shrank for a store that was slow for a while grows again', async (t) => {
+test('a window that shrank while the store was slow grows again', async (t) => {
   const clock = new VirtualClock();
   const window = new FetchWindow(clock, BASELINE_MS);
   await fetchInRounds(window, clock, 80, 30);
@@ -90,14 +92,14 @@
   t.true(Math.max(...sizes) >= 40, `largest ${Math.max(...sizes)}`);
 });
 
-test('fetches that were only a little late do not shrink it', (t) => {
+test('fetches that are only slightly late do not shrink the window', (t) => {
   const window = new FetchWindow(new VirtualClock(), BASELINE_MS);
   const before = window.size;
   for (let fetch = 0; fetch < 40; fetch += 1) window.recordMissing(String(fetch), 280, 40);
   t.is(window.size, before);
 });
 
-test('before anything is known one fetch for each engine may be under way, and no more once the store has told', (t) => {
+test('the initial window allows one fetch per engine, and no longer follows the engine count after the first fetch', (t) => {
   const window = new FetchWindow(new VirtualClock(), BASELINE_MS);
   window.setEngineCount(6);
   t.is(window.size, 12);
@@ -108,7 +110,7 @@
   t.is(window.size, 98);
 });
 
-test('a first guess far above what the store serves is corrected within a few rounds', async (t) => {
+test('an initial window far above the capacity of the store is corrected within a few rounds', async (t) => {
   const clock = new VirtualClock();
   const window = new FetchWindow(clock, BASELINE_MS);
   window.setEngineCount(100);
--- a/packages/slots/test/leadership.test.ts
+++ b/packages/slots/test/leadership.test.ts
@@ -3,52 +3,52 @@
 import test from 'ava';
 import { PauseDetector, PeerSight, PoolLeadership, type PoolClaim } from '../src/index.js';
 
-test('a node that sees less than half of those it saw of late does not lead', async (t) => {
+test('a node that sees less than half of the members it saw recently has no majority', async (t) => {
   const clock = new VirtualClock();
-  const sight = new PeerSight(clock, 'a', 12_000);
-  sight.update(['b', 'c', 'd', 'e'], []);
-  t.true(sight.seesMost());
-  sight.update(['b'], []);
-  t.false(sight.seesMost());
-  sight.update(['b', 'c'], []);
-  t.true(sight.seesMost());
+  const visibility = new PeerSight(clock, 'a', 12_000);
+  visibility.update(['b', 'c', 'd', 'e'], []);
+  t.true(visibility.seesMost());
+  visibility.update(['b'], []);
+  t.false(visibility.seesMost());
+  visibility.update(['b', 'c'], []);
+  t.true(visibility.seesMost());
   await clock.runUntil(9000);
-  sight.update(['b'], []);
-  t.true(sight.seesMost(), 'members that are gone for long no longer count');
+  visibility.update(['b'], []);
+  t.true(visibility.seesMost(), 'members that have been gone for long no longer count');
 });
 
-test('a node that saw few and forgot the others may be cut off until they are back for a while', async (t) => {
+test('a node that lost and then forgot a majority may be cut off until a member has been back for a while', async (t) => {
   const clock = new VirtualClock();
-  const sight = new PeerSight(clock, 'a', 12_000);
-  sight.update(['b', 'c', 'd', 'e'], []);
-  sight.update(['b'], []);
-  t.false(sight.isRemainder);
+  const visibility = new PeerSight(clock, 'a', 12_000);
+  visibility.update(['b', 'c', 'd', 'e'], []);
+  visibility.update(['b'], []);
+  t.false(visibility.isRemainder);
   await clock.runUntil(9000);
-  sight.update(['b'], []);
-  t.true(sight.seesMost());
-  t.true(sight.isRemainder);
-  t.is(sight.aloneMs, undefined);
-  sight.update([], []);
+  visibility.update(['b'], []);
+  t.true(visibility.seesMost());
+  t.true(visibility.isRemainder);
+  t.is(visibility.aloneMs, undefined);
+  visibility.update([], []);
   await clock.runUntil(18_000);
-  sight.update([], []);
-  t.is(sight.aloneMs, 9000);
-  sight.update(['c'], []);
-  t.true(sight.isRemainder, 'it may not have heard of their leader yet');
+  visibility.update([], []);
+  t.is(visibility.aloneMs, 9000);
+  visibility.update(['c'], []);
+  t.true(visibility.isRemainder, 'it may not have learnt of their leader yet');
   await clock.runUntil(21_000);
-  t.false(sight.isRemainder);
+  t.false(visibility.isRemainder);
 });
 
-test('a node that forgets a few of many is no remainder', async (t) => {
+test('a node that forgets a minority of members is not considered cut off', async (t) => {
   const clock = new VirtualClock();
-  const sight = new PeerSight(clock, 'a', 12_000);
-  sight.update(['b', 'c', 'd', 'e'], []);
-  sight.update(['b', 'c', 'd'], []);
+  const visibility = new PeerSight(clock, 'a', 12_000);
+  visibility.update(['b', 'c', 'd', 'e'], []);
+  visibility.update(['b', 'c', 'd'], []);
   await clock.runUntil(9000);
-  sight.update(['b', 'c', 'd'], []);
-  t.false(sight.isRemainder);
+  visibility.update(['b', 'c', 'd'], []);
+  t.false(visibility.isRemainder);
 });
 
-test('of two halves the one with the smallest name leads', (t) => {
+test('of two equal halves, the one with the smallest id counts as the majority', (t) => {
   const clock = new VirtualClock();
   const left = new PeerSight(clock, 'a', 12_000);
   left.update(['b', 'c', 'd'], []);
@@ -60,21 +60,22 @@
   t.false(right.seesMost());
 });
 
-test('members that said they leave do not count', (t) => {
-  const sight = new PeerSight(new VirtualClock(), 'd', 12_000);
-  sight.update(['a', 'b', 'c'], []);
-  sight.update(['c'], ['a', 'b']);
-  t.true(sight.seesMost());
+test('members that announced their departure do not count', (t) => {
+  const visibility = new PeerSight(new VirtualClock(), 'd', 12_000);
+  visibility.update(['a', 'b', 'c'], []);
+  visibility.update(['c'], ['a', 'b']);
+  t.true(visibility.seesMost());
 });
 
-test('a node that never met another acts alone only after a while', async (t) => {
+test('a node that has never seen another member acts alone only after a while', async (t) => {
   const clock = new VirtualClock();
-  const sight = new PeerSight(clock, 'a', 12_000);
-  t.false(sight.seesMost());
+  const visibility = new PeerSight(clock, 'a', 12_000);
+  t.false(visibility.seesMost());
   await clock.runUntil(12_000);
-  t.true(sight.seesMost());
+  t.true(visibility.seesMost());
 });
 
+/** Creates one leadership per node. A step lets time pass and updates the nodes that are alive. */
 function election(ids: readonly string[]): {
   clock: VirtualClock;
   alive: Set<string>;
@@ -106,7 +107,7 @@
   return { clock, alive, leaderships, step };
 }
 
-test('one node leads; when it is gone another follows, and it does not take the pool back', async (t) => {
+test('when the leader is gone another node takes over, and the former leader does not take the pool back', async (t) => {
   const { alive, leaderships, step } = election(['a', 'b', 'c']);
   for (let index = 0; index < 6; index += 1) await step();
   t.is(leaderships.get('c')?.leader, 'a');
@@ -119,7 +120,7 @@
   t.is(leaderships.get('c')?.leader, 'b');
 });
 
-test('a leader that resigns goes on to follow the next one', async (t) => {
+test('a leader that resigns follows the next leader', async (t) => {
   const { alive, leaderships, step } = election(['a', 'b']);
   for (let index = 0; index < 6; index += 1) await step();
   leaderships.get('a')?.resign();
@@ -129,7 +130,7 @@
   t.is(leaderships.get('a')?.leader, 'b');
 });
 
-test('a pause is seen right before an action, also when no timer ran since', async (t) => {
+test('a check right before an action detects a pause even if no timer has run since', async (t) => {
   const clock = new VirtualClock();
   const detector = new PauseDetector(clock, 1000);
   const seen: number[] = [];
--- a/packages/slots/test/new-pool.ts
+++ b/packages/slots/test/new-pool.ts
@@ -3,7 +3,7 @@
 import { AdapterMemory, DEFAULT_SLOT_TIMING, SlotPool } from '../src/index.js';
 import { LEASE_MS, PROFILE, SimulatedControl, type SimulatedEngine } from './simulated-engines.js';
 
-/** A pool over simulated engines that check no fences, led by the node of this number. */
+/** Creates a pool over simulated engines that check no fences, led by the node with this number. */
 export function newPool(
   clock: VirtualClock,
   engines: readonly SimulatedEngine[],
--- a/packages/slots/test/new-request.ts
+++ b/packages/slots/test/new-request.ts
@@ -3,7 +3,7 @@
 
 let nextId = 0;
 
-/** A request with an id of its own, for an adapter or, where none is given, for the base model. */
+/** Creates a request with a unique id, for an adapter or, if undefined, for the base model. */
 export function newRequest(adapter: string | undefined, changes: Partial<SlotRequest> = {}): SlotRequest {
   nextId += 1;
   return {
--- a/packages/slots/test/order-fence.test.ts
+++ b/packages/slots/test/order-fence.test.ts
@@ -1,10 +1,10 @@
 /**
- * Seen in operation: an order with a lower fence after one with a higher fence, from a node that followed another one after a
- * loss of all processes.
+ * Guards against a failure seen in operation: after all processes were lost, a new holder sent an order with a lower fence
+ * than its predecessor.
  *
- * Terms of leaders were counted from those that a node had seen, so after a restart of all they began at 1 again, and of two
- * holders in succession whose orders had changed nothing the number of the machine decided. Terms beyond 1,023 all counted as one.
- * Shown by two holders that know nothing of one another.
+ * Leadership terms used to be counted up from the terms a node had seen, so they restarted at 1 when all nodes restarted.
+ * For two successive holders whose orders had changed nothing, the machine number then decided which fence was higher. In
+ * addition, all terms above 1,023 counted as the same. The tests use two holders that know nothing of each other.
  */
 import { VirtualClock } from '@canvasridge/clock';
 import { Telemetry } from '@canvasridge/telemetry';
@@ -12,7 +12,7 @@
 import { PoolLeadership } from '../src/index.js';
 import { OrderFence } from '../src/order-fence.js';
 
-/** A node that knows no other leads at once. */
+/** Returns the leadership of a node that knows no other node and therefore becomes leader. */
 async function leaderOf(clock: VirtualClock, selfId: string): Promise<PoolLeadership> {
   const peers = {
     selfId,
@@ -30,7 +30,7 @@
   return leadership;
 }
 
-test('a leader after a restart of all has a higher fence, also if its number is lower', async (t) => {
+test('a leader elected after a restart of all nodes has a higher fence, even with a lower holder number', async (t) => {
   const clock = new VirtualClock();
   const before = await leaderOf(clock, 'b');
   const earlier = new OrderFence(9, () => before.term);
@@ -43,7 +43,7 @@
   t.true(later.raiseTo(7) > earlier.raiseTo(7));
 });
 
-test('fences rise from each of many terms to the next', (t) => {
+test('fences rise with the term over a wide range of terms', (t) => {
   let last = 0;
   for (const term of [1, 2, 1023, 1024, 1025, 100_000, 262_142]) {
     const fence = new OrderFence(9, () => term);
@@ -54,7 +54,7 @@
   }
 });
 
-test('a fence never falls within one holder, also when terms begin anew', (t) => {
+test('the fences of one holder never fall, even when terms wrap around', (t) => {
   let term = 2 ** 18 - 1;
   const fence = new OrderFence(9, () => term);
   fence.startAt(3);
@@ -64,7 +64,7 @@
   t.true(fence.raiseTo(5) > before);
 });
 
-test('counts and fences stay exact up to two million orders', (t) => {
+test('fences stay exact integers up to two million orders', (t) => {
   const fence = new OrderFence(2 ** 14 - 1, () => 2 ** 18 - 1);
   t.true(Number.isSafeInteger(fence.raiseTo(2 ** 21 - 1)));
 });
--- a/packages/slots/test/order-lease.test.ts
+++ b/packages/slots/test/order-lease.test.ts
@@ -4,7 +4,7 @@
 import { DEFAULT_SLOT_TIMING, OrderLease, type EngineReport, type OrderSubject } from '../src/index.js';
 import { LEASE_MS, MODEL, SimulatedControl, SimulatedEngine } from './simulated-engines.js';
 
-/** Leases made so far: each one later is of a later leader, as nodes learn from one another. */
+/** Number of leases created so far. It serves as the default term, so that each new lease belongs to a later leader. */
 let leasesMade = 0;
 
 const TIMING = { ...DEFAULT_SLOT_TIMING, leaseMs: LEASE_MS };
@@ -43,7 +43,7 @@
 const load = (adapter: string): OrderSubject => ({ action: 'load', model: MODEL, adapter });
 const unload = (adapter: string): OrderSubject => ({ action: 'unload', model: MODEL, adapter });
 
-test('a new holder gives its first order only when the count stood still for a lease', async (t) => {
+test('a new holder gives its first order only after the count has not changed for a whole lease', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   const { lease } = newLease(clock, engine, 1);
@@ -57,7 +57,7 @@
   t.is(engine.applied.length, 1);
 });
 
-test('a holder that gave no order for a lease finds out before its next one that another node took the engine', async (t) => {
+test('a holder without an order for a whole lease detects before its next order that another node took the engine', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   const idle = newLease(clock, engine, 9).lease;
@@ -68,7 +68,7 @@
   await clock.runUntil(12_000);
   void other.order(load('b'));
   await clock.runUntil(12_500);
-  t.true(idle.held, 'nothing told it so far');
+  t.true(idle.held, 'it has not learnt of the other holder yet');
   const late = idle.order(load('c'));
   await clock.runUntil(12_600);
   t.deepEqual(await late, { kind: 'not-held' });
@@ -77,7 +77,7 @@
   t.deepEqual(engine.violations, []);
 });
 
-test('a holder that can not ask an idle engine gives it no order, and goes on when it answers', async (t) => {
+test('a holder that can not read a report of an idle engine gives no order until the engine answers again', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   const { lease } = newLease(clock, engine, 1);
@@ -94,7 +94,7 @@
   t.is(engine.arrived.length, 1);
 });
 
-test('an engine that stood still for a lease is taken only once the leader before knows', async (t) => {
+test('an engine whose count did not change for a lease is taken only once the previous leader knows it was replaced', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   let mayTake = false;
@@ -109,7 +109,7 @@
   t.true(lease.held);
 });
 
-test('a challenger never takes turns with a holder that goes on', async (t) => {
+test('a second node never takes over while the holder keeps giving orders', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   const first = newLease(clock, engine, 2).lease;
@@ -125,7 +125,7 @@
   t.deepEqual(engine.violations, []);
 });
 
-test('after the holder died another one takes over a lease later, with a higher fence', async (t) => {
+test('after the holder dies another node takes over one lease later, with a higher fence', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   const first = newLease(clock, engine, 9).lease;
@@ -141,7 +141,7 @@
   t.deepEqual(engine.violations, []);
 });
 
-test('the next holder has a higher fence also after an order that changed nothing', async (t) => {
+test('the next holder has a higher fence even after an order that changed nothing', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   const first = newLease(clock, engine, 9).lease;
@@ -158,7 +158,7 @@
   t.true((engine.applied[0]?.order.fence ?? 0) > seen);
 });
 
-test('a holder that knows nothing of former ones has a higher fence than one whose last order changed nothing', async (t) => {
+test('a holder with no knowledge of its predecessor has a higher fence, even if the last order changed nothing', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   const [always, never] = [(): boolean => true, (): boolean => false];
@@ -178,31 +178,31 @@
   t.true((engine.applied[1]?.order.fence ?? 0) > seen);
 });
 
-test('a holder that slept through the turn of another finds out and gives no order', async (t) => {
+test('a holder that was inactive while another node took over has its next order rejected and loses the lease', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
-  const sleeper = newLease(clock, engine, 9).lease;
+  const inactive = newLease(clock, engine, 9).lease;
   await clock.runUntil(5000);
   const other = newLease(clock, engine, 1).lease;
   await clock.runUntil(10_000);
   void other.order(load('b'));
   await clock.runUntil(10_100);
-  const late = sleeper.order(load('a'));
+  const late = inactive.order(load('a'));
   await clock.runUntil(10_200);
   t.deepEqual(await late, { kind: 'conflict' });
   await clock.runUntil(11_000);
-  t.false(sleeper.held);
+  t.false(inactive.held);
   t.is(engine.applied.length, 1);
 });
 
-for (const wasTaken of [true, false]) {
-  test(`an order without an answer that was ${wasTaken ? '' : 'not '}taken is cleared up by a report`, async (t) => {
+for (const wasCarriedOut of [true, false]) {
+  test(`a report resolves an unanswered order that was ${wasCarriedOut ? '' : 'not '}carried out`, async (t) => {
     const clock = new VirtualClock();
     const engine = new SimulatedEngine(clock, 'e');
     const { lease, reports } = newLease(clock, engine, 1);
     await clock.runUntil(5000);
-    engine.losesAnswers = wasTaken;
-    engine.reachable = wasTaken;
+    engine.losesAnswers = wasCarriedOut;
+    engine.reachable = wasCarriedOut;
     void lease.order(load('a'));
     await clock.runUntil(5700);
     engine.losesAnswers = false;
@@ -210,7 +210,7 @@
     t.false(lease.held);
     await clock.runUntil(8000);
     t.true(lease.held);
-    t.is(reports.at(-1)?.orderCount, wasTaken ? 1 : 0);
+    t.is(reports.at(-1)?.orderCount, wasCarriedOut ? 1 : 0);
     void lease.order(load('b'));
     await clock.runUntil(8100);
     t.is(engine.applied.at(-1)?.order.adapter, 'b');
@@ -218,7 +218,7 @@
   });
 }
 
-test('a node that may not order does not become holder', async (t) => {
+test('a node that may not give orders does not become holder', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   const { lease } = newLease(clock, engine, 1, () => false);
@@ -226,7 +226,7 @@
   t.false(lease.held);
 });
 
-test('a reset lease has to be observed again', async (t) => {
+test('after a reset the engine has to be observed for a whole lease again', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   const { lease } = newLease(clock, engine, 1);
@@ -238,20 +238,20 @@
   t.true(lease.held);
 });
 
-test('a node that only observes becomes holder at once when it may order', async (t) => {
+test('a node that has been observing becomes holder at once when it may give orders', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
-  let may = false;
-  const { lease } = newLease(clock, engine, 1, () => may);
+  let mayOrder = false;
+  const { lease } = newLease(clock, engine, 1, () => mayOrder);
   await clock.runUntil(10_000);
   t.false(lease.held);
-  may = true;
+  mayOrder = true;
   lease.wake();
   await clock.runUntil(10_100);
   t.true(lease.held);
 });
 
-test('an engine that never took an order is taken at once if no other node can lead', async (t) => {
+test('an engine that has never counted an order is taken at once if no other node can be leading', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   const { lease } = newLease(clock, engine, 1, () => true, true);
@@ -262,10 +262,10 @@
   lease.close();
   const second = newLease(clock, engine, 2, () => true, true).lease;
   await clock.runUntil(3000);
-  t.false(second.held, 'one that took an order is not');
+  t.false(second.held, 'an engine that has counted an order is not taken at once');
 });
 
-test('where engines check fences, the holder after one that is gone orders at once', async (t) => {
+test('where engines check fences, the successor of a holder that is gone gives orders at once', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   engine.checksFences = true;
@@ -276,20 +276,20 @@
   const isGone = (): boolean => clock.now() > 5100;
   const second = newLease(clock, engine, 1, () => true, false, isGone).lease;
   await clock.runUntil(5090);
-  t.false(second.held, 'the first one may still be there');
+  t.false(second.held, 'the first holder may still be active');
   second.wake();
   await clock.runUntil(5105);
   second.wake();
   await clock.runUntil(5400);
   t.true(second.held);
-  // The report was read too early to show the order of the first one, so the fence is too low at first.
+  // The report was read too early to show the first holder's order, so the second holder's fence is too low at first.
   for (const atMs of [5410, 6300, 7200]) {
     void second.order(load('b'));
     await clock.runUntil(atMs + 200);
   }
   const late = first.order(load('c'));
   await clock.runUntil(8000);
-  t.not((await late).kind, 'accepted', 'an order of the one that was gone is not carried out');
+  t.not((await late).kind, 'accepted', 'a late order of the former holder is not carried out');
   t.deepEqual(
     engine.applied.map(({ order }) => order.holder),
     ['node-9', 'node-1'],
@@ -297,7 +297,7 @@
   t.deepEqual(engine.violations, []);
 });
 
-test('a holder that meets a higher fence stops, and orders again only a lease later', async (t) => {
+test('a holder rejected for a lower fence stops, and gives orders again only one lease later', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   engine.checksFences = true;
@@ -310,7 +310,7 @@
     () => true,
   ).lease;
   await clock.runUntil(500);
-  // An order that changes nothing is not counted, so only the fence tells of the other holder.
+  // An order that changes nothing is not counted, so only the fence reveals the other holder.
   void engine.order({
     action: 'unload',
     model: MODEL,
@@ -332,7 +332,7 @@
   t.true(Math.max(...pausesMs) >= LEASE_MS, pausesMs.join());
 });
 
-test('a holder that finds the work of another one after its own does not take the engine back at once', async (t) => {
+test('a holder that sees foreign orders after its own does not take the engine back at once', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
   engine.checksFences = true;
@@ -341,7 +341,7 @@
   await clock.runUntil(500);
   void first.order(load('a'));
   await clock.runUntil(1000);
-  // Another node wrongly believes that the first one is gone.
+  // Another node wrongly believes that the first holder is gone.
   const second = newLease(clock, engine, 9, always, false, always).lease;
   await clock.runUntil(1300);
   void second.order(load('b'));
@@ -359,6 +359,6 @@
     void first.order(load('c'));
     await clock.runUntil(atMs);
   }
-  t.is(engine.applied.at(-1)?.order.holder, 'node-1', 'a lease later it does');
+  t.is(engine.applied.at(-1)?.order.holder, 'node-1', 'it does one lease later');
   t.deepEqual(engine.violations, []);
 });
--- a/packages/slots/test/prompt-backlog.test.ts
+++ b/packages/slots/test/prompt-backlog.test.ts
@@ -6,11 +6,11 @@
 
 let nextId = 0;
 
-/** Sends prompts of different lengths at about 0.7 of what the reader bears. */
+/** Sends prompts of different lengths at about 0.7 of the engine's capacity. */
 async function runLoad(
   clock: VirtualClock,
   backlog: PromptBacklog,
-  reader: SimulatedPrefill,
+  prefill: SimulatedPrefill,
   forMs: number,
 ): Promise<void> {
   const random = new Random(7);
@@ -20,13 +20,13 @@
     nextId += 1;
     const id = `p${nextId}`;
     backlog.add(id, tokens, clock.now());
-    reader.process(tokens, () => backlog.recordRead(id, clock.now()));
-    await clock.runUntil(clock.now() + (tokens * reader.msPerToken) / 0.7);
+    prefill.process(tokens, () => backlog.recordProcessed(id, clock.now()));
+    await clock.runUntil(clock.now() + (tokens * prefill.msPerToken) / 0.7);
   }
 }
 
 for (const msPerToken of [0.008, 0.026, 0.055, 0.2]) {
-  test(`an engine that reads a token in ${msPerToken} ms is known to do so after some prompts`, async (t) => {
+  test(`a prefill speed of ${msPerToken} ms per token is learnt after some prompts`, async (t) => {
     const clock = new VirtualClock();
     const backlog = new PromptBacklog(undefined);
     await runLoad(clock, backlog, new SimulatedPrefill(clock, msPerToken), 8000);
@@ -35,39 +35,39 @@
   });
 }
 
-test('an engine that turns five times slower for a while is known to, and forgiven as soon', async (t) => {
+test('an engine that is five times slower for a while is recognized, and so is its recovery', async (t) => {
   const clock = new VirtualClock();
   const backlog = new PromptBacklog(undefined);
-  const reader = new SimulatedPrefill(clock, 0.03);
-  await runLoad(clock, backlog, reader, 6000);
-  reader.msPerToken = 0.15;
-  await runLoad(clock, backlog, reader, 7500);
+  const prefill = new SimulatedPrefill(clock, 0.03);
+  await runLoad(clock, backlog, prefill, 6000);
+  prefill.msPerToken = 0.15;
+  await runLoad(clock, backlog, prefill, 7500);
   t.true(backlog.speed.msPerToken > 0.1, `${backlog.speed.msPerToken}`);
-  reader.msPerToken = 0.03;
-  await runLoad(clock, backlog, reader, 5000);
+  prefill.msPerToken = 0.03;
+  await runLoad(clock, backlog, prefill, 5000);
   t.true(backlog.speed.msPerToken < 0.05, `${backlog.speed.msPerToken}`);
 });
 
-test('an engine of which nothing is known is believed to be as fast as its fellows', async (t) => {
+test('an engine that has not been observed is assumed to be as fast as the pool', async (t) => {
   const clock = new VirtualClock();
-  const fellows = newPoolSpeed();
-  await runLoad(clock, new PromptBacklog(fellows), new SimulatedPrefill(clock, 0.012), 6000);
-  t.true(Math.abs(new PromptBacklog(fellows).speed.msPerToken - 0.012) < 0.005);
+  const poolSpeed = newPoolSpeed();
+  await runLoad(clock, new PromptBacklog(poolSpeed), new SimulatedPrefill(clock, 0.012), 6000);
+  t.true(Math.abs(new PromptBacklog(poolSpeed).speed.msPerToken - 0.012) < 0.005);
 });
 
-test('a backlog ends with the prompts that it was counted from, whatever speed was believed', async (t) => {
+test('a backlog ends with its prompts, whatever speed was estimated', async (t) => {
   const clock = new VirtualClock();
   const backlog = new PromptBacklog(undefined);
   for (const id of ['a', 'b', 'c']) backlog.add(id, 10_000, clock.now());
-  t.true(backlog.remainingMs(clock.now()) > 1000, 'by the first guess');
+  t.true(backlog.remainingMs(clock.now()) > 1000, 'by the initial estimate');
   await clock.runUntil(100);
-  for (const id of ['a', 'b']) backlog.recordRead(id, clock.now());
+  for (const id of ['a', 'b']) backlog.recordProcessed(id, clock.now());
   backlog.drop('c');
   t.is(backlog.remainingMs(clock.now()), 0);
   t.is(backlog.tokens, 0);
 });
 
-test('an engine that shows nothing is taken to be slower, the longer it lasts', async (t) => {
+test('the longer an engine returns nothing, the slower it is assumed to be', async (t) => {
   const clock = new VirtualClock();
   const backlog = new PromptBacklog(undefined);
   backlog.add('a', 4000, clock.now());
--- a/packages/slots/test/rate-limit.test.ts
+++ b/packages/slots/test/rate-limit.test.ts
@@ -1,4 +1,4 @@
-/** Engines that name how many requests a second they take from all nodes together, before a pool that grants all of them. */
+/** Engines that state a limit on requests per second for all nodes together, in a pool whose leader makes all grants. */
 import { Random, VirtualClock, hashSeed } from '@canvasridge/clock';
 import test from 'ava';
 import type { SlotDecision, SlotPool } from '../src/index.js';
@@ -6,21 +6,23 @@
 import { newRequest } from './new-request.js';
 import { SimulatedEngine } from './simulated-engines.js';
 
+/** By this time a new pool holds the order leases of its engines. */
 const HELD_MS = 5000;
 const PER_SECOND = 1.4;
 const RULE = { ratePerSecond: PER_SECOND, burst: 2 };
 const WINDOW_MS = 4000;
+/** How long a granted request runs. */
 const RUN_MS = 300;
 const SEEDS = [1, 2, 3, 4, 5];
 
 interface Figures {
   readonly grantedMs: Map<string, number[]>;
   refused: number;
-  /** Time until requests that were refused knew it. */
+  /** Longest time until a refused request got its refusal. */
   longestRefusalMs: number;
 }
 
-/** Requests for a few adapters, so many a second, which run for a while where they are granted. */
+/** Sends about 20 requests per second for a few adapters. Granted requests run for a while. */
 async function runLoad(
   clock: VirtualClock,
   pool: SlotPool,
@@ -50,6 +52,7 @@
   return figures;
 }
 
+/** Largest number of times that fall into one window. */
 function maxInWindow(timesMs: readonly number[]): number {
   const counts = timesMs.map(
     (fromMs) => timesMs.filter((atMs) => atMs >= fromMs && atMs < fromMs + WINDOW_MS).length,
@@ -69,7 +72,7 @@
 
 const MAX_IN_WINDOW = 1.5 * PER_SECOND * (WINDOW_MS / 1000) + 5;
 
-test('an engine that names a limit is granted within it; its adapters are served by the others', async (t) => {
+test('an engine with a rate limit gets no more than its limit, and other engines serve its adapters', async (t) => {
   for (const seed of SEEDS) {
     const { clock, pool } = await startPool(3);
     await runLoad(clock, pool, seed, 5);
@@ -83,7 +86,7 @@
   }
 });
 
-test('where all engines name a limit, it is used, and what is beyond it is refused as soon as that is known', async (t) => {
+test('if all engines have a rate limit, the limits are used up and requests beyond them are refused', async (t) => {
   for (const seed of SEEDS) {
     const { clock, pool } = await startPool(3);
     await runLoad(clock, pool, seed, 5);
@@ -98,7 +101,7 @@
   }
 });
 
-test('a grant tells of the limit it was made within, and of one that has ended', async (t) => {
+test('a grant states the rate limit it was made within, or that a former limit has ended', async (t) => {
   const { clock, pool } = await startPool(1);
   const rates: unknown[] = [];
   const ask = async (): Promise<void> => {
--- a/packages/slots/test/simulated-engines.ts
+++ b/packages/slots/test/simulated-engines.ts
@@ -2,13 +2,14 @@
 import type { BackendDescription, EngineProfile } from '@canvasridge/serving';
 import type { EngineControl, EngineOrder, EngineReport, OrderReply } from '../src/index.js';
 
-/** Times of a simulated engine, in milliseconds. */
+/** Network delay of a message to or from an engine. */
 const ONE_WAY_MS = 2;
+/** Age of the state that reports show. */
 const REPORT_LAG_MS = 200;
 const COLD_LOAD_MS = 250;
 const WARM_LOAD_MS = 25;
 export const LEASE_MS = 3000;
-/** Adapters that may be on their way at the same time. */
+/** Maximum number of adapters that an engine loads at the same time. */
 const MAX_PENDING = 4;
 
 export const MODEL = 'base';
@@ -26,24 +27,25 @@
 }
 
 /**
- * An engine as the platform's are: it counts the orders it takes, names a repeated load or unload done without
- * counting it, reports with a lag, falls when told to hold too much, and checks fences if it is told to.
+ * Simulates an engine of the platform. It counts the orders it carries out, answers a repeated load or unload without
+ * counting it, reports with a lag, and optionally checks fences. It records a violation if it is ordered to hold too many
+ * adapters or if holders break the rules for taking turns.
  */
 export class SimulatedEngine {
   readonly description: BackendDescription;
-  /** Orders that came, whatever the answer to them: holders are judged by these. */
+  /** All received orders, whatever the answer. The rules for holders are checked on these. */
   readonly arrived: TimedOrder[] = [];
-  /** Those of them that were carried out and counted. */
+  /** Orders that were carried out and counted. */
   readonly applied: TimedOrder[] = [];
   readonly violations: string[] = [];
-  /** Orders refused since the count differed or too many adapters were on their way. */
+  /** Number of orders rejected because the count differed or too many adapters were loading. */
   conflicts = 0;
-  /** Loses answers to orders while true; the orders are taken. */
+  /** While true, orders are carried out but their answers are lost. */
   losesAnswers = false;
   reachable = true;
-  /** Until when reports say that an order is under way. */
+  /** Until when reports show a model load or unload in progress. */
   busyUntilMs = 0;
-  /** Refuses fences that are lower than one it saw. Holders may then follow one another at once. */
+  /** Whether orders with a lower fence than seen before are rejected. Holders may then succeed one another at once. */
   checksFences = false;
   #highestFence = 0;
   readonly #clock: Clock;
@@ -66,13 +68,13 @@
     this.#recordState();
   }
 
-  /** Whether a request for the adapter would run now. */
+  /** Whether the adapter is loaded, so that a request for it would run. */
   serves(adapter: string): boolean {
     const held = this.#adapters.get(adapter);
     return held !== undefined && held.readyAtMs <= this.#clock.now();
   }
 
-  /** The highest fence of any order that came, also of one that changed nothing. */
+  /** The highest fence of any received order, including orders that changed nothing. */
   get highestFence(): number {
     return this.#highestFence;
   }
@@ -123,7 +125,8 @@
     const loadMs = this.#hostMemory.has(adapter) ? WARM_LOAD_MS : COLD_LOAD_MS;
     this.#adapters.set(adapter, { readyAtMs: this.#clock.now() + loadMs });
     this.#hostMemory.add(adapter);
-    if (this.#adapters.size > PROFILE.adapterSlots) this.violations.push(`LIMIT: ${adapter} is one too many`);
+    if (this.#adapters.size > PROFILE.adapterSlots)
+      this.violations.push(`LIMIT: ${adapter} exceeds the adapter slots`);
   }
 
   #pendingCount(): number {
@@ -131,8 +134,9 @@
   }
 
   /**
-   * The users' rule on holders: no turns within a lease, no shared fence, no lower fence after a higher one. An order that
-   * is refused or changes nothing counts as well: it shows that its sender took itself for the holder.
+   * Checks the users' rules for holders: no orders of two holders within one lease, no fence used by two holders, and no
+   * lower fence after a higher one. Rejected orders and orders that change nothing count as well, because they show that
+   * the sender believed itself to be the holder.
    */
   #checkHolderRules(order: EngineOrder): void {
     const last = this.arrived.at(-1);
@@ -141,12 +145,12 @@
     if (last === undefined || this.#isSharedFence(order, last.order, atMs) || this.checksFences) return;
     if (order.fence < this.#highestFence) this.violations.push(`ONE: fence fell at ${atMs}`);
     if (order.holder !== last.order.holder && atMs - last.atMs < LEASE_MS)
-      this.violations.push(`ONE: turns within the lease at ${atMs}`);
+      this.violations.push(`ONE: two holders within one lease at ${atMs}`);
   }
 
   #isSharedFence(order: EngineOrder, last: EngineOrder, atMs: number): boolean {
     const isShared = order.fence === last.fence && order.holder !== last.holder;
-    if (isShared) this.violations.push(`ONE: fence of two holders at ${atMs}`);
+    if (isShared) this.violations.push(`ONE: two holders used the same fence at ${atMs}`);
     return isShared;
   }
 
@@ -167,7 +171,7 @@
   }
 }
 
-/** Calls to a set of simulated engines. */
+/** Control calls to a set of simulated engines. */
 export class SimulatedControl implements EngineControl {
   readonly #engines: ReadonlyMap<string, SimulatedEngine>;
 
@@ -175,7 +179,7 @@
     this.#engines = new Map(engines.map((engine) => [engine.description.id, engine]));
   }
 
-  /** Simulated engines say nothing of themselves beside what they are asked for. */
+  /** Simulated engines send no notices. */
   onNotice(): void {
     return;
   }
--- a/packages/slots/test/simulated-prefill.ts
+++ b/packages/slots/test/simulated-prefill.ts
@@ -1,11 +1,11 @@
 import type { VirtualClock } from '@canvasridge/clock';
 
-/** Reads prompts one after the other, as an engine does. */
+/** Processes prompts one after the other, as an engine does. */
 export class SimulatedPrefill {
   readonly #clock: VirtualClock;
   #freeAtMs = 0;
 
-  /** @param msPerToken time that a token takes; may change at any moment */
+  /** @param msPerToken prefill time per token; may be changed at any time */
   constructor(
     clock: VirtualClock,
     public msPerToken: number,
@@ -13,7 +13,7 @@
     this.#clock = clock;
   }
 
-  /** Calls back when the prompt was read. */
+  /** Calls back when the prompt has been processed. */
   process(tokens: number, onDone: () => void): void {
     const nowMs = this.#clock.now();
     this.#freeAtMs = Math.max(this.#freeAtMs, nowMs) + tokens * this.msPerToken;
--- a/packages/slots/test/slot-pool.test.ts
+++ b/packages/slots/test/slot-pool.test.ts
@@ -6,11 +6,12 @@
 import { SimulatedPrefill } from './simulated-prefill.js';
 import { LEASE_MS, PROFILE, SimulatedEngine } from './simulated-engines.js';
 
+/** By this time a new pool holds the order leases of its engines. */
 const HELD_MS = 5000;
-/** Time that engines take to read the prompt of a usual request. */
+/** Time that engines take to process the prompt of a usual request. */
 const PREFILL_MS = 50;
 
-/** Requests that take all adapter slots of one engine, and keep them. */
+/** Occupies all adapter slots of one engine with running requests. */
 async function fillSlots(clock: VirtualClock, pool: SlotPool): Promise<void> {
   for (const adapter of ['a', 'b', 'c', 'd', 'e', 'f']) {
     pool.acquire(request(adapter, { timeoutMs: 60_000, objectiveMs: 5000 }), () => undefined);
@@ -18,7 +19,7 @@
   await clock.runUntil(HELD_MS + 900);
 }
 
-test('a request waits until its adapter is loaded and gets the engine that holds it', async (t) => {
+test('a request waits until its adapter is loaded and then gets the engine that has it', async (t) => {
   const clock = new VirtualClock();
   const engines = [new SimulatedEngine(clock, 'e1'), new SimulatedEngine(clock, 'e2')];
   const pool = newPool(clock, engines);
@@ -34,7 +35,7 @@
   t.true(engines.find((engine) => engine.description.id === backendId)?.serves('x'));
 });
 
-test('an adapter in use is never unloaded, and no engine is told to hold too many', async (t) => {
+test('an adapter in use is never unloaded, and no engine is ordered to hold too many adapters', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e1');
   const pool = newPool(clock, [engine]);
@@ -54,7 +55,7 @@
   t.deepEqual(engine.violations, []);
 });
 
-test('a request that can not get a slot in time is refused early, with the time to come back', async (t) => {
+test('a request that can not get a slot in time is refused early, with a retry delay', async (t) => {
   const clock = new VirtualClock();
   const pool = newPool(clock, [new SimulatedEngine(clock, 'e1')]);
   await clock.runUntil(HELD_MS);
@@ -71,7 +72,7 @@
   }
 });
 
-test('a new version is loaded in place of the old one, and the old one is not used for long', async (t) => {
+test('a new adapter version is loaded in place of the old one before the next request is granted', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e1');
   const versions = new Map<string, number>();
@@ -97,7 +98,7 @@
   );
 });
 
-test('a grant that came too early is corrected and asked for again', async (t) => {
+test('an adapter that a granted request did not find is granted again a little later', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e1');
   const pool = newPool(clock, [engine]);
@@ -117,7 +118,7 @@
   t.true(granted);
 });
 
-test('a request that can not begin in its time is refused at once, and waits when it comes back with more', async (t) => {
+test('a request that can not start in time is refused at once, and its retry with more time waits', async (t) => {
   const clock = new VirtualClock();
   const pool = newPool(clock, [new SimulatedEngine(clock, 'e1')]);
   await clock.runUntil(HELD_MS);
@@ -135,7 +136,7 @@
   t.deepEqual(kinds, ['refused'], 'it waits');
 });
 
-test('an adapter that a report shows on its way serves the requests that wait for it', async (t) => {
+test('an adapter that a report shows as loading serves the requests that wait for it', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e1');
   const pool = newPool(clock, [engine]);
@@ -156,7 +157,7 @@
   t.deepEqual(engine.violations, []);
 });
 
-test('an engine is never asked for more adapters at once than it takes', async (t) => {
+test('an engine is never ordered to load more adapters at once than it accepts', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e1');
   const pool = newPool(clock, [engine]);
@@ -166,7 +167,7 @@
     const asked = request(adapter, { timeoutMs: 20_000, objectiveMs: 20_000 });
     pool.acquire(asked, (decision) => {
       if (decision.kind !== 'granted') return;
-      // As an engine does: it runs only what it holds, and the request asks again otherwise.
+      // Like a real engine, it only runs requests for adapters it has. Otherwise the request is made again.
       const isThere = engine.serves(adapter);
       if (isThere) served += 1;
       clock.setTimer(isThere ? 30 : 5, () => {
@@ -179,10 +180,10 @@
   await clock.runUntil(HELD_MS + 10_000);
   t.is(engine.conflicts, 0);
   t.is(served, 30);
-  t.true(engine.applied.length >= 54, `all were loaded in turn: ${engine.applied.length}`);
+  t.true(engine.applied.length >= 54, `orders to load all adapters in turn: ${engine.applied.length}`);
 });
 
-/** A pool under random load and faults; returns the violations that the engines saw. */
+/** Runs a pool under random load and faults, and returns the violations that the engines recorded. */
 async function soak(seed: number): Promise<readonly string[]> {
   const clock = new VirtualClock();
   const random = new Random(seed);
@@ -204,7 +205,7 @@
     const engine = random.pick(engines);
     if (engine !== undefined && random.next() < 0.02) engine.losesAnswers = !engine.losesAnswers;
     if (random.next() < 0.004) {
-      // The leader ends without a word, and another node takes its place at once.
+      // The leader stops without notice, and another node replaces it at once.
       pool.close();
       leader += 1;
       pool = newPool(clock, engines, leader % 7);
@@ -215,25 +216,25 @@
 }
 
 for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
-  test(`no holder breaks the rules of engines under lost answers and changing leaders, seed ${seed}`, async (t) => {
+  test(`no holder breaks the rules under lost answers and changing leaders, seed ${seed}`, async (t) => {
     t.deepEqual(await soak(seed), []);
   });
 }
 
-test('an adapter in great demand is loaded on a second engine before the prompts on the first one pile up', async (t) => {
+test('an adapter in high demand is loaded on a second engine before prompts queue up on the first one', async (t) => {
   const clock = new VirtualClock();
   const engines = [new SimulatedEngine(clock, 'e1'), new SimulatedEngine(clock, 'e2')];
   const pool = newPool(clock, engines);
   await clock.runUntil(HELD_MS);
   const granted: string[] = [];
-  const readers = new Map(
+  const prefillByEngine = new Map(
     engines.map(({ description }) => [description.id, new SimulatedPrefill(clock, 0.05)]),
   );
   const ask = (): void =>
     pool.acquire(request('x', { promptTokens: 3000 }), (decision) => {
       if (decision.kind !== 'granted') return;
       granted.push(decision.backendId);
-      readers.get(decision.backendId)?.process(3000, () => pool.started(decision.requestId));
+      prefillByEngine.get(decision.backendId)?.process(3000, () => pool.started(decision.requestId));
     });
   for (let index = 0; index < 12; index += 1) ask();
   await clock.runUntil(HELD_MS + 700);
@@ -242,7 +243,7 @@
   t.is(granted.length, 12);
 });
 
-test('among requests of one objective, an earlier one of lower priority is not overtaken for long', (t) => {
+test('a request of lower priority is not overtaken by more urgent ones that arrive much later', (t) => {
   const list = new WaitingList(() => 0);
   const add = (id: string, arrivedMs: number, priority: number): void =>
     list.add({
@@ -261,7 +262,7 @@
   );
 });
 
-test('an engine that leaves the list for a moment is still held when it is back, and got no work meanwhile', async (t) => {
+test('an engine that leaves the list briefly gets no work meanwhile and is still held when it is back', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e1');
   const pool = newPool(clock, [engine]);
@@ -280,7 +281,7 @@
   t.true(granted);
 });
 
-test('while no load can be ordered, a request that can wait is served then, and another is told at once when that is', async (t) => {
+test('while no load can be ordered, a request that can wait long enough is served later and another is refused at once', async (t) => {
   const clock = new VirtualClock();
   const pool = newPool(clock, [new SimulatedEngine(clock, 'e1')]);
   await clock.runUntil(500);
@@ -300,7 +301,7 @@
   t.is(decisions.get('patient')?.decision.kind, 'granted');
 });
 
-test('a request that waits is given up before its client is gone, whatever its deadline', async (t) => {
+test('a waiting request is refused before its client gives up, whatever its objective and timeout', async (t) => {
   const clock = new VirtualClock();
   const pool = newPool(clock, [new SimulatedEngine(clock, 'e1')]);
   await clock.runUntil(HELD_MS);
@@ -313,7 +314,7 @@
   t.true((refusedMs[0] ?? Infinity) < 4000);
 });
 
-test('an engine that was busy when it was taken gets loads once it is not', async (t) => {
+test('an engine that was busy when its lease was acquired gets loads once it is idle', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e1');
   engine.busyUntilMs = 4000;
@@ -330,7 +331,7 @@
   t.true(granted);
 });
 
-test('while most engines fail, none of them is kept from loads', async (t) => {
+test('while most engines fail, none of them is excluded from loads', async (t) => {
   const clock = new VirtualClock();
   const engines = ['e1', 'e2', 'e3'].map((id) => new SimulatedEngine(clock, id));
   const pool = newPool(clock, engines);
@@ -353,7 +354,7 @@
   t.true(granted);
 });
 
-test('only a use soon after a load tells how long loads take', async (t) => {
+test('only a first use soon after a load changes the estimated load time', async (t) => {
   const clock = new VirtualClock();
   const pool = newPool(clock, [new SimulatedEngine(clock, 'e1')]);
   await clock.runUntil(HELD_MS);
@@ -369,7 +370,7 @@
       if (decision.kind === 'granted') pool.started(decision.requestId);
     });
   use('a');
-  t.is(guessMs(), firstMs, 'it was there for long');
+  t.is(guessMs(), firstMs, 'it had been loaded for long');
   use('b');
   await clock.runUntil(HELD_MS + 2500);
   t.true(guessMs() < firstMs);
--- a/packages/slots/test/tenant-fairness.test.ts
+++ b/packages/slots/test/tenant-fairness.test.ts
@@ -1,8 +1,10 @@
 /**
- * One tenant sends six times its usual while it is below its quota, so that more is asked than the engines serve. The
- * load: 16 tenants of sizes by Zipf's law, 400 requests a second, 420 served a second; the second largest one jumps. Two
- * ways on the same requests: by deadline alone, all tenants lose alike, the quiet ones as much as the one that
- * jumped; in turns, the quiet ones are served as before, and the one that jumped gets what is left.
+ * Guards against one tenant crowding out the others: it sends six times its usual load while still below its quota, so that
+ * demand exceeds what the engines serve.
+ *
+ * The load: 16 tenants with Zipf-distributed rates, 400 requests per second in total, of a capacity of 420; the second
+ * largest tenant surges. The same requests are scheduled in two ways. By deadline alone, all tenants lose equally. With
+ * fair queueing, the other tenants are served as before and the surging one gets the remaining capacity.
  */
 import { Random } from '@canvasridge/clock';
 import test from 'ava';
@@ -16,7 +18,7 @@
 const OBJECTIVE_MS = 1000;
 const STEP_MS = 10;
 const RUN_MS = 8000;
-/** A tenant is starved if it is served less often than this part of how often all are. */
+/** A tenant is starved if its served share is below this fraction of the served share of all tenants. */
 const STARVED_SHARE = 0.25;
 const START_INTERVAL_MS = 1000 / SERVED_PER_SECOND;
 
@@ -25,6 +27,7 @@
   readonly inTime: number[];
 }
 
+/** Requests per second of each tenant without the surge. */
 function usualRates(): number[] {
   const weights = Array.from({ length: TENANTS }, (_, index) => 1 / (index + 1));
   const total = weights.reduce((sum, weight) => sum + weight, 0);
@@ -82,8 +85,9 @@
   return served;
 }
 
-/** Parts served in time: the least over the tenants that did not jump, the one that did, and all together. */
+/** Fractions of requests served in time. */
 interface ServedShares {
+  /** Minimum over the tenants that do not surge. */
   readonly minOfOthers: number;
   readonly surging: number;
   readonly all: number;
@@ -100,15 +104,19 @@
   };
 }
 
-test('tenants that ask for no more than before are served as before while another jumps', (t) => {
+test('tenants whose load does not change are served as before while another tenant surges', (t) => {
   const byDeadline = servedShares(simulate(new WaitingList(() => 0, new Set(['fair-tenants']))));
   const usual = usualRates();
   const weightOf = (tenant: string): number => usual[Number(tenant.slice('tenant-'.length))] ?? 1;
-  const turns = { gapMs: () => START_INTERVAL_MS, weightOf };
-  const inTurns = servedShares(simulate(new WaitingList(() => 0, new Set(), turns)));
-  t.log(`by deadline: least ${byDeadline.minOfOthers.toFixed(2)}, hot ${byDeadline.surging.toFixed(2)}`);
-  t.log(`in turns: least ${inTurns.minOfOthers.toFixed(2)}, hot ${inTurns.surging.toFixed(2)}`);
-  t.true(inTurns.minOfOthers > 0.9);
-  t.true(inTurns.minOfOthers > byDeadline.minOfOthers);
-  t.true(inTurns.surging > STARVED_SHARE * inTurns.all, 'nor is the one that jumped starved');
+  const sharing = { gapMs: () => START_INTERVAL_MS, weightOf };
+  const fairly = servedShares(simulate(new WaitingList(() => 0, new Set(), sharing)));
+  t.log(
+    `by deadline: minimum of others ${byDeadline.minOfOthers.toFixed(2)}, surging ${byDeadline.surging.toFixed(2)}`,
+  );
+  t.log(
+    `fair queueing: minimum of others ${fairly.minOfOthers.toFixed(2)}, surging ${fairly.surging.toFixed(2)}`,
+  );
+  t.true(fairly.minOfOthers > 0.9);
+  t.true(fairly.minOfOthers > byDeadline.minOfOthers);
+  t.true(fairly.surging > STARVED_SHARE * fairly.all, 'the surging tenant is not starved either');
 });
