--- a/packages/slots/src/adapter-loader.ts
+++ b/packages/slots/src/adapter-loader.ts
@@ -90,7 +90,7 @@
     slot.orderedMs = clock.now();
     const reply = await lease.order({ action: 'load', model, adapter });
     if (reply.kind === 'accepted' || reply.kind === 'done') {
-      memory.note(slots.backend.id, slot.key);
+      memory.record(slots.backend.id, slot.key);
       const estimateMs = slot.warm ? this.#warmEstimate.estimateMs : this.#coldEstimate.estimateMs;
       const leftMs = reply.kind === 'done' ? 0 : slot.orderedMs + estimateMs - clock.now();
       this.#options.after(Math.max(leftMs, 0), () => this.#markLoaded(slot));
--- a/packages/slots/src/adapter-memory.ts
+++ b/packages/slots/src/adapter-memory.ts
@@ -18,14 +18,14 @@
     for (const backend of backends) {
       listed.add(backend.id);
       for (const model of backend.models) {
-        for (const { name } of model.adapters) this.note(backend.id, adapterKey(model.name, name));
+        for (const { name } of model.adapters) this.record(backend.id, adapterKey(model.name, name));
       }
     }
     for (const id of [...this.#cached.keys()]) if (!listed.has(id)) this.#cached.delete(id);
   }
 
   /** Records that an adapter was loaded or used on an engine. */
-  note(engineId: string, key: string): void {
+  record(engineId: string, key: string): void {
     let kept = this.#cached.get(engineId);
     if (kept === undefined) {
       kept = new LRUCache({ max: CAPACITY });
--- a/packages/slots/src/adapter-popularity.ts
+++ b/packages/slots/src/adapter-popularity.ts
@@ -8,7 +8,7 @@
 
 interface Entry {
   rate: number;
-  atMs: number;
+  updatedMs: number;
 }
 
 /** Counts the recent requests for each adapter, with exponential decay. */
@@ -25,12 +25,12 @@
     const nowMs = this.#clock.now();
     const entry = this.#rates.get(key);
     if (entry === undefined) {
-      this.#rates.set(key, { rate: 1, atMs: nowMs });
+      this.#rates.set(key, { rate: 1, updatedMs: nowMs });
       if (this.#rates.size > PRUNE_ABOVE_SIZE) this.#prune();
       return;
     }
     entry.rate = decayed(entry, nowMs) + 1;
-    entry.atMs = nowMs;
+    entry.updatedMs = nowMs;
   }
 
   /** The decayed number of requests for an adapter. */
@@ -48,5 +48,5 @@
 }
 
 function decayed(entry: Entry, nowMs: number): number {
-  return entry.rate * 0.5 ** ((nowMs - entry.atMs) / HALF_LIFE_MS);
+  return entry.rate * 0.5 ** ((nowMs - entry.updatedMs) / HALF_LIFE_MS);
 }
--- a/packages/slots/src/engine-uses.ts
+++ b/packages/slots/src/engine-uses.ts
@@ -42,7 +42,7 @@
     slot.users += 1;
     slot.lastUsedMs = nowMs;
     if (slot.firstUsedMs === 0) slot.firstUsedMs = nowMs;
-    this.#memory.note(engineId, slot.key);
+    this.#memory.record(engineId, slot.key);
   }
 
   /** Records that a request has ended and returns its use, or undefined if the request is unknown. */
--- a/packages/slots/src/refused-requests.ts
+++ b/packages/slots/src/refused-requests.ts
@@ -23,7 +23,7 @@
   }
 
   /** Records a refusal. */
-  note(promptKey: string | undefined, timing: RefusalTiming): void {
+  record(promptKey: string | undefined, timing: RefusalTiming): void {
     if (promptKey !== undefined) this.#refusals.set(promptKey, { atMs: this.#clock.now(), timing });
   }
 
--- a/packages/slots/src/slot-pool.ts
+++ b/packages/slots/src/slot-pool.ts
@@ -413,7 +413,7 @@
     const { promptKey, objectiveMs } = waiting.request;
     const ageMs = this.#options.clock.now() - waiting.arrivedMs;
     this.#logDecision('slot.refused', waiting, { reason, retryAfterMs: Math.round(retryAfterMs) });
-    this.#refused.note(promptKey, ageMs <= objectiveMs * EARLY_REFUSAL_SHARE ? 'early' : 'late');
+    this.#refused.record(promptKey, ageMs <= objectiveMs * EARLY_REFUSAL_SHARE ? 'early' : 'late');
     waiting.decide({ kind: 'refused', requestId: waiting.request.id, reason, retryAfterMs });
   }
 
--- a/packages/slots/test/backing-off.test.ts
+++ b/packages/slots/test/backing-off.test.ts
@@ -26,7 +26,7 @@
   };
   for (const adapter of ['b', 'c', 'd', 'a']) await ask(adapter);
   t.deepEqual(
-    engines.map(({ applied }) => applied.length),
+    engines.map(({ appliedOrders }) => appliedOrders.length),
     [4, 0],
   );
   for (const decision of granted.values()) t.like(decision, { kind: 'granted', backendId: 'e1' });
--- a/packages/slots/test/order-lease.test.ts
+++ b/packages/slots/test/order-lease.test.ts
@@ -54,7 +54,7 @@
   const reply = lease.order(load('x'));
   await clock.runUntil(LEASE_MS + 1600);
   t.deepEqual(await reply, { kind: 'accepted' });
-  t.is(engine.applied.length, 1);
+  t.is(engine.appliedOrders.length, 1);
 });
 
 test('a holder without an order for a whole lease detects before its next order that another node took the engine', async (t) => {
@@ -137,7 +137,7 @@
   await clock.runUntil(10_000);
   void second.order(load('b'));
   await clock.runUntil(10_100);
-  t.is(engine.applied.length, 2);
+  t.is(engine.appliedOrders.length, 2);
   t.deepEqual(engine.violations, []);
 });
 
@@ -154,8 +154,8 @@
   await clock.runUntil(10_000);
   void second.order(load('b'));
   await clock.runUntil(10_100);
-  t.is(engine.applied.length, 1);
-  t.true((engine.applied[0]?.order.fence ?? 0) > seen);
+  t.is(engine.appliedOrders.length, 1);
+  t.true((engine.appliedOrders[0]?.order.fence ?? 0) > seen);
 });
 
 test('a holder with no knowledge of its predecessor has a higher fence, even if the last order changed nothing', async (t) => {
@@ -174,8 +174,8 @@
   await clock.runUntil(10_000);
   void second.order(load('b'));
   await clock.runUntil(10_100);
-  t.is(engine.applied.length, 2);
-  t.true((engine.applied[1]?.order.fence ?? 0) > seen);
+  t.is(engine.appliedOrders.length, 2);
+  t.true((engine.appliedOrders[1]?.order.fence ?? 0) > seen);
 });
 
 test('a holder that was inactive while another node took over has its next order rejected and loses the lease', async (t) => {
@@ -192,7 +192,7 @@
   t.deepEqual(await late, { kind: 'conflict' });
   await clock.runUntil(11_000);
   t.false(inactive.held);
-  t.is(engine.applied.length, 1);
+  t.is(engine.appliedOrders.length, 1);
 });
 
 for (const wasCarriedOut of [true, false]) {
@@ -213,7 +213,7 @@
     t.is(reports.at(-1)?.orderCount, wasCarriedOut ? 1 : 0);
     void lease.order(load('b'));
     await clock.runUntil(8100);
-    t.is(engine.applied.at(-1)?.order.adapter, 'b');
+    t.is(engine.appliedOrders.at(-1)?.order.adapter, 'b');
     t.deepEqual(engine.violations, []);
   });
 }
@@ -291,7 +291,7 @@
   await clock.runUntil(8000);
   t.not((await late).kind, 'accepted', 'a late order of the former holder is not carried out');
   t.deepEqual(
-    engine.applied.map(({ order }) => order.holder),
+    engine.appliedOrders.map(({ order }) => order.holder),
     ['node-9', 'node-1'],
   );
   t.deepEqual(engine.violations, []);
@@ -352,13 +352,13 @@
     await clock.runUntil(atMs);
   }
   t.deepEqual(
-    engine.applied.map(({ order }) => order.holder),
+    engine.appliedOrders.map(({ order }) => order.holder),
     ['node-1', 'node-9'],
   );
   for (let atMs = 4000; atMs < 8000; atMs += 50) {
     void first.order(load('c'));
     await clock.runUntil(atMs);
   }
-  t.is(engine.applied.at(-1)?.order.holder, 'node-1', 'it does one lease later');
+  t.is(engine.appliedOrders.at(-1)?.order.holder, 'node-1', 'it does one lease later');
   t.deepEqual(engine.violations, []);
 });
--- a/packages/slots/test/simulated-engines.ts
+++ b/packages/slots/test/simulated-engines.ts
@@ -36,7 +36,7 @@
   /** All received orders, whatever the answer. The rules for holders are checked on these. */
   readonly arrived: TimedOrder[] = [];
   /** Orders that were carried out and counted. */
-  readonly applied: TimedOrder[] = [];
+  readonly appliedOrders: TimedOrder[] = [];
   readonly violations: string[] = [];
   /** Number of orders rejected because the count differed or too many adapters were loading. */
   conflicts = 0;
@@ -113,7 +113,7 @@
     }
     if (order.expectedCount !== this.#count) return { kind: 'conflict' };
     if (order.action === 'load' && this.#pendingCount() >= MAX_PENDING) return { kind: 'conflict' };
-    this.applied.push({ atMs: this.#clock.now(), order });
+    this.appliedOrders.push({ atMs: this.#clock.now(), order });
     this.#count += 1;
     if (order.action === 'unload') this.#adapters.delete(adapter);
     else this.#load(adapter);
--- a/packages/slots/test/slot-pool.test.ts
+++ b/packages/slots/test/slot-pool.test.ts
@@ -48,10 +48,10 @@
   }
   await clock.runUntil(HELD_MS + 900);
   t.is(granted.length, PROFILE.adapterSlots);
-  t.is(engine.applied.filter(({ order }) => order.action === 'unload').length, 0);
+  t.is(engine.appliedOrders.filter(({ order }) => order.action === 'unload').length, 0);
   pool.release(granted[0] ?? '', 'served');
   await clock.runUntil(HELD_MS + 1500);
-  t.is(engine.applied.filter(({ order }) => order.action === 'unload').length, 1);
+  t.is(engine.appliedOrders.filter(({ order }) => order.action === 'unload').length, 1);
   t.deepEqual(engine.violations, []);
 });
 
@@ -93,7 +93,7 @@
   await clock.runUntil(HELD_MS + 1200);
   t.true(granted);
   t.deepEqual(
-    engine.applied.map(({ order }) => order.action),
+    engine.appliedOrders.map(({ order }) => order.action),
     ['load', 'unload', 'load'],
   );
 });
@@ -180,7 +180,10 @@
   await clock.runUntil(HELD_MS + 10_000);
   t.is(engine.conflicts, 0);
   t.is(served, 30);
-  t.true(engine.applied.length >= 54, `orders to load all adapters in turn: ${engine.applied.length}`);
+  t.true(
+    engine.appliedOrders.length >= 54,
+    `orders to load all adapters in turn: ${engine.appliedOrders.length}`,
+  );
 });
 
 /** Runs a pool under random load and faults, and returns the violations that the engines recorded. */
@@ -274,7 +277,7 @@
     granted = decision.kind === 'granted';
   });
   await clock.runUntil(HELD_MS + 150);
-  t.deepEqual([pool.describe().engines, granted, engine.applied.length], [0, false, 0]);
+  t.deepEqual([pool.describe().engines, granted, engine.appliedOrders.length], [0, false, 0]);
   pool.setEngines([engine.description], PROFILE);
   t.is(pool.describe().held, 1);
   await clock.runUntil(HELD_MS + 600);
