--- a/packages/slots/src/load-starter.ts
+++ b/packages/slots/src/load-starter.ts
@@ -1,34 +1,34 @@
 import type { Clock } from '@canvasridge/clock';
 import { adapterKey } from '@canvasridge/serving';
-import type { AdapterDemand } from './adapter-demand.js';
+import type { AdapterPopularity } from './adapter-popularity.js';
 import type { AdapterLoader } from './adapter-loader.js';
 import type { AdapterMemory } from './adapter-memory.js';
-import type { EngineChoice } from './engine-choice.js';
+import type { EngineSelector } from './engine-selector.js';
 import type { EngineEntry } from './engine-entry.js';
 import type { EngineRegistry } from './engine-registry.js';
-import { chooseLoad, type LoadDemand } from './load-placement.js';
+import { placeLoad, type LoadRequest } from './load-placement.js';
 import type { SwitchedOff } from './mechanisms.js';
 import { canLoadMore, type PoolIndex } from './pool-index.js';
 import type { SlotRequest } from './slot-request.js';
 import type { WaitingList, WaitingRequest, WaitObstacle } from './waiting-list.js';
 
-/** Part of all adapter slots from which idle ones count as spare: what they are used for takes none from others. */
+/** If at least this fraction of all adapter slots is spare, using one takes no slot from other requests. */
 export const SPARE_SHARE = 0.25;
 
 export interface LoadStarterOptions {
   readonly clock: Clock;
   readonly engines: EngineRegistry;
-  readonly choice: EngineChoice;
+  readonly selector: EngineSelector;
   readonly adapters: AdapterLoader;
   readonly memory: AdapterMemory;
-  readonly demand: AdapterDemand;
+  readonly adapterPopularity: AdapterPopularity;
   readonly waiting: WaitingList;
-  /** Whether an engine turned this node away and wants nothing from it, orders included, for a while. */
+  /** Whether an engine told this node to back off for a while, which includes orders. */
   readonly isBackingOff: (backendId: string) => boolean;
-  readonly off: SwitchedOff;
+  readonly disabled: SwitchedOff;
 }
 
-/** Orders loads of adapters for requests that wait, where an engine can take one and it is worth it. */
+/** Orders loads of adapters for waiting requests if an engine can load one and the load is worthwhile. */
 export class LoadStarter {
   readonly #options: LoadStarterOptions;
 
@@ -37,33 +37,34 @@
   }
 
   /**
-   * Orders the load of a request's adapter, if an engine can take it. Returns what the request waits for now.
-   * @param aheadMs the shortest backlog of an engine that has the adapter: a copy must be quicker
+   * Orders the load of a request's adapter if possible. Returns what the request waits for now.
+   * @param backlogMs shortest backlog of the engines that have the adapter; a load must be quicker than that
    */
-  start(waiting: WaitingRequest, index: PoolIndex, aheadMs: number): WaitObstacle {
-    const { engines, adapters, memory, demand: popularity } = this.#options;
+  start(waiting: WaitingRequest, index: PoolIndex, backlogMs: number): WaitObstacle {
+    const { engines, adapters, memory, adapterPopularity: popularity } = this.#options;
     const { model, adapter } = waiting.request;
-    if (adapter === undefined || index.able.length === 0) return 'no-room';
-    const able = preferUnlimited(
-      index.able.filter((entry) => this.#isCandidate(entry, waiting.request) && canLoadMore(entry)),
+    if (adapter === undefined || index.loadTargets.length === 0) return 'no-room';
+    const candidates = preferUnlimited(
+      index.loadTargets.filter((entry) => this.#isCandidate(entry, waiting.request) && canLoadMore(entry)),
     );
-    if (able.length === 0) return 'no-room';
-    const demand = this.#demandOf(waiting, adapterKey(model, adapter), index, aheadMs);
-    const choice = chooseLoad(
-      able.map((entry) => entry.slots),
-      demand,
+    if (candidates.length === 0) return 'no-room';
+    const loadRequest = this.#describeLoad(waiting, adapterKey(model, adapter), index, backlogMs);
+    const placement = placeLoad(
+      candidates.map((entry) => entry.slots),
+      loadRequest,
       popularity,
       memory,
     );
-    const entry = choice === undefined ? undefined : engines.get(choice.slots.backend.id);
-    if (choice === undefined || entry === undefined) return demand.mayFetch ? 'too-late' : 'fetch-limit';
-    index.loadStarted(demand.key, entry, !choice.warm);
-    void adapters.load(entry, choice, model, adapter);
+    const entry = placement === undefined ? undefined : engines.get(placement.slots.backend.id);
+    if (placement === undefined || entry === undefined)
+      return loadRequest.mayFetch ? 'too-late' : 'fetch-limit';
+    index.loadStarted(loadRequest.key, entry, !placement.warm);
+    void adapters.load(entry, placement, model, adapter);
     return 'loading';
   }
 
-  #demandOf(waiting: WaitingRequest, key: string, index: PoolIndex, aheadMs: number): LoadDemand {
-    const { clock, adapters, waiting: list, off } = this.#options;
+  #describeLoad(waiting: WaitingRequest, key: string, index: PoolIndex, backlogMs: number): LoadRequest {
+    const { clock, adapters, waiting: list, disabled } = this.#options;
     const { request, arrivedMs } = waiting;
     const nowMs = clock.now();
     return {
@@ -71,21 +72,21 @@
       key,
       nowMs,
       ageMs: nowMs - arrivedMs,
-      startWithinMs: list.startWithinMs(request),
-      quickerThanMs: aheadMs,
-      hasHome: this.#hasHome(request, key),
+      latestStartAgeMs: list.latestStartAgeMs(request),
+      maxStartDelayMs: backlogMs,
+      hasWarmEngine: this.#hasWarmEngine(request, key),
       mayFetch: index.fetches < adapters.fetchWindow,
       hasSpare: index.spareShare >= SPARE_SHARE,
       coldLoadMs: adapters.coldLoadMs,
       warmLoadMs: adapters.warmLoadMs,
-      off,
+      disabled,
     };
   }
 
-  /** Whether an engine that can be given orders likely has the adapter in its memory. */
-  #hasHome(request: SlotRequest, key: string): boolean {
-    const { engines, memory, off } = this.#options;
-    if (off.has('adapter-memory')) return false;
+  /** Whether an engine that this node may give orders to likely has the adapter in its host memory. */
+  #hasWarmEngine(request: SlotRequest, key: string): boolean {
+    const { engines, memory, disabled } = this.#options;
+    if (disabled.has('adapter-memory')) return false;
     return engines
       .listed()
       .some(
@@ -95,16 +96,19 @@
   }
 
   #isCandidate(entry: EngineEntry, request: SlotRequest): boolean {
-    const { engines, choice } = this.#options;
+    const { engines, selector } = this.#options;
     const { model, adapter } = request;
     if (adapter === undefined || !engines.mayServe(entry, request)) return false;
     if (this.#options.isBackingOff(entry.slots.backend.id)) return false;
-    return entry.slots.models.has(model) && !choice.holds(entry, adapterKey(model, adapter));
+    return entry.slots.models.has(model) && !selector.hasCurrentAdapter(entry, adapterKey(model, adapter));
   }
 }
 
-/** An adapter on an engine that names a limit is of little use there: such engines come last, and none without room for a request. */
-function preferUnlimited(able: readonly EngineEntry[]): readonly EngineEntry[] {
-  const unlimited = able.filter(({ rate }) => rate.rule === undefined);
-  return unlimited.length > 0 ? unlimited : able.filter(({ rate }) => rate.hasRoom);
+/**
+ * Returns the engines without a rate limit, because an adapter is of little use on a rate-limited one. If there are none,
+ * returns the rate-limited engines that have room for a request.
+ */
+function preferUnlimited(eligible: readonly EngineEntry[]): readonly EngineEntry[] {
+  const unlimited = eligible.filter(({ rate }) => rate.rule === undefined);
+  return unlimited.length > 0 ? unlimited : eligible.filter(({ rate }) => rate.hasRoom);
 }
--- /dev/null
+++ b/packages/slots/src/load-time-estimate.ts
@@ -0,0 +1,48 @@
+import type { Clock } from '@canvasridge/clock';
+
+/**
+ * The estimate is multiplied by one of these when an adapter was not loaded yet, or was. At equilibrium about one load in
+ * 26 is tried too early, which costs each request that waits for it a refusal by the engine and a retry from the fleet's
+ * retry budget.
+ */
+const GROWTH_FACTOR = 1.08;
+const SHRINK_FACTOR = 0.997;
+/** Bounds of the estimate, relative to its initial value. */
+const MAX_FACTOR = 5;
+const MIN_FACTOR = 0.2;
+/** Failures within this time have a common cause and count once. */
+const ONE_CAUSE_MS = 150;
+
+/**
+ * Estimates how long a load takes, learnt from whether requests found the adapter present. Engine reports lag too much to
+ * show when a load ends.
+ */
+export class LoadTimeEstimate {
+  readonly #clock: Clock;
+  readonly #initialMs: number;
+  #estimateMs: number;
+  #increasedMs = -Infinity;
+
+  constructor(clock: Clock, initialMs: number) {
+    this.#clock = clock;
+    this.#initialMs = initialMs;
+    this.#estimateMs = initialMs;
+  }
+
+  get estimateMs(): number {
+    return this.#estimateMs;
+  }
+
+  /** Raises the estimate after an adapter was used too early. */
+  increase(): void {
+    const nowMs = this.#clock.now();
+    if (nowMs - this.#increasedMs < ONE_CAUSE_MS) return;
+    this.#increasedMs = nowMs;
+    this.#estimateMs = Math.min(this.#estimateMs * GROWTH_FACTOR, this.#initialMs * MAX_FACTOR);
+  }
+
+  /** Lowers the estimate after an adapter was loaded in time. */
+  decrease(): void {
+    this.#estimateMs = Math.max(this.#estimateMs * SHRINK_FACTOR, this.#initialMs * MIN_FACTOR);
+  }
+}
--- a/packages/slots/src/order-lease.ts
+++ b/packages/slots/src/order-lease.ts
@@ -11,92 +11,102 @@
 import { OrderFence } from './order-fence.js';
 import type { SlotTiming } from './timing.js';
 
-/** Orders with higher and higher fences before a holder that is refused takes another one to be active. */
-const MOST_FENCED_ORDERS = 2;
+/** After this many consecutive orders rejected for a low fence, each with a higher one, another holder is assumed active. */
+const MAX_FENCED_ORDERS = 2;
 /**
- * A report that shows the expected count vouches for an order that is begun this soon after the report was asked for, in
- * milliseconds: about the time by which reports are late themselves, so a longer one would double what they can't show.
+ * How long after a report was requested an order may rely on the count in it, in milliseconds. This is about the lag of
+ * the reports themselves, so a longer time would more than double the window in which foreign orders go unnoticed.
  */
-const REPORT_VOUCHES_MS = 200;
+const REPORT_VALID_MS = 200;
 
+/** The node that gives orders, as engines see it. */
 export interface OrderHolder {
   readonly name: string;
-  /** Different for every machine; its lowest 14 bits are used. */
+  /** Unique per machine. Only the lowest 14 bits are used, as part of the fence. */
   readonly number: number;
 }
 
 export interface OrderLeaseOptions {
   readonly backend: BackendDescription;
   readonly control: EngineControl;
-  /** Never ahead of the time that has passed: for waiting until the lease of another holder has ended. */
+  /** Never runs ahead of real time. Used to wait until another holder's lease has ended. */
   readonly clock: Clock;
-  /** Never behind it, also where the machine was suspended: for what orders and reports have proved. */
+  /** Never falls behind real time, even if the machine was suspended. Used to expire what orders and reports have proved. */
   readonly fleetClock: Clock;
   readonly timing: SlotTiming;
   readonly holder: OrderHolder;
   readonly telemetry: Telemetry;
-  /** Whether this node may give orders at all; asked before each. */
+  /** Whether this node may give orders at all. Checked before each order. */
   readonly mayOrder: () => boolean;
-  /** Rises with each change of the leader, as far as this node saw them. */
+  /** The leadership term: rises with each change of leader that this node has seen. */
   readonly term: () => number;
-  /** Whether this node reads reports, so as to become holder without delay once it may order. */
+  /** Whether this node reads reports in advance, so that it becomes holder without delay once it may give orders. */
   readonly mayObserve: () => boolean;
-  /** Whether an engine that never took an order can be taken at once, as no other node can lead. */
+  /** Whether an engine with an order count of 0 may be taken at once, because no other node can be leading. */
   readonly mayTakeUnused: () => boolean;
-  /** Whether an engine whose count stood still for a lease can be taken, or the leader before may not know yet. */
+  /**
+   * Whether an engine may be taken whose count did not change for a whole lease. False while the previous leader may not
+   * yet know that it was replaced.
+   */
   readonly mayTake: () => boolean;
   /**
-   * Whether any engine can be taken at once: engines refuse the orders of holders with lower fences, and the
-   * holder before this one is known to be gone.
+   * Whether any engine may be taken at once, because engines reject orders with lower fences and the previous holder is
+   * known to be gone.
    */
   readonly mayTakeAtOnce: () => boolean;
-  /** Reports show that another node gives orders to the engine. */
+  /** Called when reports show that another node gives orders to the engine. */
   readonly onForeignOrders: () => void;
-  /** A report was read from which the state of the engine is to be taken over. */
+  /** Called with each report from which the engine's state should be updated. */
   readonly onReport: (report: EngineReport) => void;
 }
 
+/**
+ * `observing`: another node may be the holder, so reports are read until `count` has not changed for a lease since
+ * `sinceMs`. `held`: this node is the holder. `settling`: this node is the holder but does not know the engine's state for
+ * certain, for example after an unanswered order, so it reads a report before its next order. `closed`: final.
+ */
 type LeaseState =
   | { readonly kind: 'observing'; readonly count: number | undefined; readonly sinceMs: number }
   | { readonly kind: 'held'; readonly nextCount: number }
   | {
       readonly kind: 'settling';
-      /** Counts that the holder's own orders explain; undefined if any will do, as its fence was merely too low. */
+      /** Counts that the holder's own orders can explain. Undefined if any count is fine because only the fence was too low. */
       readonly possibleCounts: readonly number[] | undefined;
       readonly sinceMs: number;
     }
   | { readonly kind: 'closed' };
 
-/** The order was not sent, since this node does not hold the engine (now). */
+/** The order was not sent because this node is not (or no longer) the holder of the engine. */
 export interface NotHeld {
   readonly kind: 'not-held';
 }
 
 /**
- * The right to give orders to one engine, without any memory outside of it. The
- * engine's count of orders is the register: a node becomes holder when the count has stood still for a lease,
- * as its own reports show, and each order names the count that it expects. So the order of another holder is
- * either seen while waiting, or makes the next order here fail.
+ * The exclusive right to give orders to one engine. The only shared state is the engine's own order count: a node becomes
+ * holder when its reports show that the count has not changed for one lease, and each order names the count it expects
+ * (compare-and-set). An order of another holder is therefore either seen while waiting, or makes this node's next order
+ * fail.
  *
- * What was true for one lease only is not acted on after it: a holder whose last counted order is older than that reads
- * a report before its next order, as any other node may have taken the engine meanwhile.
+ * A counted order proves exclusiveness for one lease only. A holder whose last counted order is older reads a report
+ * before its next order, since any other node may have taken the engine in the meantime.
  *
- * Where engines refuse lower fences, a holder that follows one that is gone does not wait: an order of the
- * former one that still arrives names a count that has passed.
+ * Where engines reject lower fences, the successor of a holder that is gone does not wait for the lease: a late order of
+ * the former holder names a count that has passed.
  */
 export class OrderLease {
   readonly #options: OrderLeaseOptions;
   readonly #changed = new Notifier();
-  /** Orders that were refused for a low fence since one was taken. */
+  /** Orders rejected for a low fence since the last accepted one. */
   #fencedOrders = 0;
-  /** Whether the engine took an order since this node became holder. */
+  /** Whether the engine has counted an order since this node became holder. */
   #hasOrdered = false;
-  /** Another holder is active, so the engine is not taken at once again but after a whole lease. */
+  /** Another holder is active, so the engine may not be taken at once again, only after a whole lease. */
   #isContested = false;
   #state: LeaseState = { kind: 'observing', count: undefined, sinceMs: 0 };
-  #turn: Promise<void> = Promise.resolve();
-  /** Until when no other node can have become holder, as far as orders and reports have shown, on the fleet clock. */
-  #provenUntilMs = -Infinity;
+  /** Resolves when the last queued order has been answered. */
+  #lastOrder: Promise<void> = Promise.resolve();
+  /** Until when orders and reports prove that no other node can have become holder, on the fleet clock. */
+  #exclusiveUntilMs = -Infinity;
   readonly #fence: OrderFence;
 
   constructor(options: OrderLeaseOptions) {
@@ -109,8 +119,8 @@
     return this.#state.kind === 'held';
   }
 
-  /** How long until this node becomes holder, in milliseconds, if nothing comes between. Infinity if closed. */
-  get heldInMs(): number {
+  /** Earliest time until this node can become holder, in milliseconds. Infinity if closed. */
+  get untilHeldMs(): number {
     const state = this.#state;
     const { timing, clock } = this.#options;
     switch (state.kind) {
@@ -126,24 +136,24 @@
     }
   }
 
-  /** Looks again at once, since this node may order now. */
+  /** Checks again at once whether the engine can be taken, as when this node may give orders now. */
   wake(): void {
     if (this.#state.kind === 'observing') this.#changed.notify();
   }
 
-  /** Stops for good. */
+  /** Gives up the lease for good. */
   close(): void {
     this.#enter({ kind: 'closed' });
   }
 
-  /** Forgets what was known, as after a pause: the lease has to be observed again. */
+  /** Gives up the lease and discards what was observed, for example after a process pause. */
   reset(reason: string): void {
     if (this.#state.kind === 'closed') return;
     this.#logLost(reason);
     this.#enter({ kind: 'observing', count: undefined, sinceMs: 0 });
   }
 
-  /** Reads the engine's state again before the next order. */
+  /** Holds back further orders until a new report of the engine has been read. */
   settle(): void {
     if (this.#state.kind !== 'held') return;
     this.#enter({
@@ -153,11 +163,11 @@
     });
   }
 
-  /** Gives one order; orders to one engine follow one another. */
+  /** Sends one order. Orders to the engine are sent one at a time, in the order of the calls. */
   async order(subject: OrderSubject): Promise<OrderReply | NotHeld> {
-    const previous = this.#turn;
+    const previous = this.#lastOrder;
     let finish = (): void => undefined;
-    this.#turn = new Promise((resolve) => {
+    this.#lastOrder = new Promise((resolve) => {
       finish = resolve;
     });
     await previous;
@@ -170,8 +180,8 @@
 
   async #send(subject: OrderSubject): Promise<OrderReply | NotHeld> {
     const { backend, control, holder, mayOrder, clock, fleetClock, telemetry } = this.#options;
-    if (this.#state.kind === 'held' && fleetClock.now() >= this.#provenUntilMs)
-      await this.#confirm(this.#state);
+    if (this.#state.kind === 'held' && fleetClock.now() >= this.#exclusiveUntilMs)
+      await this.#verifyHeld(this.#state);
     if (!mayOrder() || this.#state.kind !== 'held') return { kind: 'not-held' };
     const expectedCount = this.#state.nextCount;
     const fence = this.#fence.raiseTo(expectedCount);
@@ -186,12 +196,15 @@
       reply: reply.kind,
       tookMs: Math.round(clock.now() - startedMs),
     });
-    this.#learn(subject, reply, expectedCount, startedFleetMs);
+    this.#applyReply(subject, reply, expectedCount, startedFleetMs);
     return reply;
   }
 
-  /** Whether the engine still shows what this node expects; if not, it has another holder, or none that is known. */
-  async #confirm(held: LeaseState & { kind: 'held' }): Promise<void> {
+  /**
+   * Reads a report to check that the engine's count is still the expected one. If not, another node is the holder; without
+   * a report, the state is unknown and has to settle.
+   */
+  async #verifyHeld(held: LeaseState & { kind: 'held' }): Promise<void> {
     const { clock, fleetClock, control, backend } = this.#options;
     const askedMs = clock.now();
     const askedFleetMs = fleetClock.now();
@@ -200,39 +213,43 @@
     if (report === undefined) {
       this.settle();
     } else if (report.orderCount === held.nextCount) {
-      this.#provenUntilMs = askedFleetMs + REPORT_VOUCHES_MS;
+      this.#exclusiveUntilMs = askedFleetMs + REPORT_VALID_MS;
     } else {
-      this.#meetForeignOrders(report.orderCount, askedMs, String(held.nextCount));
+      this.#handleForeignOrders(report.orderCount, askedMs, String(held.nextCount));
     }
   }
 
-  #meetForeignOrders(count: number, askedMs: number, expected: string): void {
-    // A count that went on after an own order is another holder's work. Before, it may be the former one's last.
+  #handleForeignOrders(count: number, askedMs: number, expected: string): void {
+    // Once this node has ordered, further counts come from another active holder. Before that, they may be the last
+    // orders of the former holder.
     this.#isContested ||= this.#hasOrdered;
     this.#logLost(`count is ${count}, expected ${expected}`);
     this.#enter({ kind: 'observing', count, sinceMs: askedMs });
     this.#options.onForeignOrders();
   }
 
-  /** An order was counted: for a lease from its arrival nobody else takes the engine, and the next one is on its way in time. */
-  #counted(expectedCount: number, startedFleetMs: number): void {
+  /**
+   * The engine counted an order, so no other node takes it for one lease from the order's arrival. The next order may
+   * take up to ORDER_TIMEOUT_MS to arrive and has to do so within that lease.
+   */
+  #recordCountedOrder(expectedCount: number, startedFleetMs: number): void {
     this.#hasOrdered = true;
-    this.#provenUntilMs = startedFleetMs + this.#options.timing.leaseMs - ORDER_TIMEOUT_MS;
+    this.#exclusiveUntilMs = startedFleetMs + this.#options.timing.leaseMs - ORDER_TIMEOUT_MS;
     this.#state = { kind: 'held', nextCount: expectedCount + 1 };
   }
 
-  #learn(subject: OrderSubject, reply: OrderReply, expectedCount: number, startedFleetMs: number): void {
-    // A reset or close while the answer was on its way stands.
+  #applyReply(subject: OrderSubject, reply: OrderReply, expectedCount: number, startedFleetMs: number): void {
+    // If the lease was reset or closed while the reply was in flight, that takes precedence.
     if (this.#state.kind !== 'held' || this.#state.nextCount !== expectedCount) return;
     const sinceMs = this.#options.clock.now();
     switch (reply.kind) {
       case 'accepted':
         this.#fencedOrders = 0;
-        this.#counted(expectedCount, startedFleetMs);
+        this.#recordCountedOrder(expectedCount, startedFleetMs);
         return;
       case 'done':
-        // An unload is counted when it is done; a load that was not needed is not.
-        if (subject.action === 'unload') this.#counted(expectedCount, startedFleetMs);
+        // Engines count a completed unload, but not a load of something already loaded.
+        if (subject.action === 'unload') this.#recordCountedOrder(expectedCount, startedFleetMs);
         return;
       case 'conflict':
         this.#enter({ kind: 'settling', possibleCounts: [expectedCount], sinceMs });
@@ -243,7 +260,7 @@
       case 'rejected':
         return;
       case 'fenced':
-        this.#meetHigherFence(sinceMs);
+        this.#handleHigherFence(sinceMs);
         return;
       case 'other-instance':
         this.close();
@@ -252,14 +269,14 @@
   }
 
   /**
-   * The engine saw a higher fence: of a holder that is gone, whose last orders the report did not show yet, or of
-   * one that is active. In the first case a few higher fences get through, in the second a whole lease is waited.
-   * After an order that was taken it is the second.
+   * The engine has seen a higher fence, either from a former holder whose last orders the report did not show yet, or from
+   * an active one. In the first case it is enough to retry a few times with higher fences. In the second case this node
+   * waits for a whole lease; that is certain if the engine has already counted an order of this holder.
    */
-  #meetHigherFence(sinceMs: number): void {
+  #handleHigherFence(sinceMs: number): void {
     this.#fence.raise();
     this.#fencedOrders += 1;
-    if (!this.#hasOrdered && this.#fencedOrders <= MOST_FENCED_ORDERS) {
+    if (!this.#hasOrdered && this.#fencedOrders <= MAX_FENCED_ORDERS) {
       this.#enter({ kind: 'settling', possibleCounts: undefined, sinceMs });
       return;
     }
@@ -281,7 +298,7 @@
           await this.#observe(state);
           break;
         case 'settling':
-          await this.#settled(state);
+          await this.#finishSettling(state);
           break;
       }
     }
@@ -299,11 +316,11 @@
       return;
     }
     if (report.orderCount === 0 && mayOrder() && this.#options.mayTakeUnused()) {
-      this.#take(report, askedFleetMs, 'unused');
+      this.#becomeHolder(report, askedFleetMs, 'unused');
       return;
     }
     if (mayOrder() && !this.#isContested && this.#options.mayTakeAtOnce()) {
-      this.#take(report, askedFleetMs, 'fenced-off');
+      this.#becomeHolder(report, askedFleetMs, 'fenced-off');
       return;
     }
     const unchanged = report.orderCount === state.count;
@@ -313,7 +330,7 @@
     if (unchanged && leftMs <= 0 && mayOrder() && mayTake()) {
       this.#fencedOrders = 0;
       this.#isContested = false;
-      this.#take(report, askedFleetMs, 'observed');
+      this.#becomeHolder(report, askedFleetMs, 'observed');
       return;
     }
     this.#options.onReport(report);
@@ -322,7 +339,7 @@
     await this.#changed.waitUpTo(clock, pauseMs);
   }
 
-  async #settled(state: LeaseState & { kind: 'settling' }): Promise<void> {
+  async #finishSettling(state: LeaseState & { kind: 'settling' }): Promise<void> {
     const { clock, fleetClock, timing, backend, control } = this.#options;
     const leftMs = state.sinceMs + timing.settleMs - clock.now();
     if (leftMs > 0) {
@@ -338,18 +355,19 @@
       return;
     }
     if (state.possibleCounts?.includes(report.orderCount) !== false) {
-      this.#take(report, askedFleetMs, 'settled');
+      this.#becomeHolder(report, askedFleetMs, 'settled');
       return;
     }
-    this.#meetForeignOrders(report.orderCount, askedMs, state.possibleCounts?.join(' or '));
+    this.#handleForeignOrders(report.orderCount, askedMs, state.possibleCounts?.join(' or '));
   }
 
-  #take(report: EngineReport, askedFleetMs: number, how: string): void {
+  /** @param how why this node may become holder, for the log */
+  #becomeHolder(report: EngineReport, askedFleetMs: number, how: string): void {
     if (how !== 'settled') {
       this.#hasOrdered = false;
       this.#fence.startAt(report.orderCount);
     }
-    this.#provenUntilMs = askedFleetMs + REPORT_VOUCHES_MS;
+    this.#exclusiveUntilMs = askedFleetMs + REPORT_VALID_MS;
     this.#state = { kind: 'held', nextCount: report.orderCount };
     this.#options.telemetry.event('info', 'order-lease.held', this.#options.backend.id, {
       how,
--- a/packages/slots/src/slot-turnover.ts
+++ b/packages/slots/src/slot-turnover.ts
@@ -1,10 +1,11 @@
 import type { Clock } from '@canvasridge/clock';
 
-const WEIGHT = 0.1;
+/** Weight of the latest gap in the exponential moving average. */
+const SMOOTHING_FACTOR = 0.1;
 const INITIAL_GAP_MS = 50;
-const LONGEST_GAP_MS = 2000;
+const MAX_GAP_MS = 2000;
 
-/** Mean time between two moments at which a slot of the pool becomes idle. */
+/** Measures the mean time between two slots of the pool becoming idle. */
 export class SlotTurnover {
   readonly #clock: Clock;
   #lastMs: number | undefined;
@@ -14,23 +15,25 @@
     this.#clock = clock;
   }
 
-  freed(): void {
+  /** Records that a slot became idle. */
+  recordIdleSlot(): void {
     const nowMs = this.#clock.now();
     if (this.#lastMs !== undefined) {
-      const gapMs = Math.min(nowMs - this.#lastMs, LONGEST_GAP_MS);
-      this.#gapMs += WEIGHT * (gapMs - this.#gapMs);
+      const gapMs = Math.min(nowMs - this.#lastMs, MAX_GAP_MS);
+      this.#gapMs += SMOOTHING_FACTOR * (gapMs - this.#gapMs);
     }
     this.#lastMs = nowMs;
   }
 
   /**
-   * The same, or the time for which none has become idle where that is longer.
-   * @param sinceMs when the first of those that wait began to wait
+   * The mean gap, or the time since a slot last became idle if that is longer.
+   * @param sinceMs arrival of the oldest waiting request; earlier time without an idle slot does not count
    */
-  presentGapMs(sinceMs: number, nowMs: number): number {
+  currentGapMs(sinceMs: number, nowMs: number): number {
     return Math.max(this.#gapMs, nowMs - Math.max(this.#lastMs ?? -Infinity, sinceMs));
   }
 
+  /** The mean gap, in milliseconds. */
   meanGapMs(): number {
     return this.#gapMs;
   }
--- a/packages/slots/src/store-load-budget.ts
+++ b/packages/slots/src/store-load-budget.ts
@@ -1,26 +1,29 @@
 import type { Clock } from '@canvasridge/clock';
 
-/** Part of the weight store's rate that is used: another node may have used some of it just before. */
-const SHARE = 0.8;
+/** Fraction of the weight store's rate that is used, because another node may have used some of it just before. */
+const USED_RATE_SHARE = 0.8;
+/** Loads that may start at once. */
 const BURST = 2;
 
-/** Limits how often whole models are fetched from the weight store. */
+/** Limits the rate at which whole models are fetched from the weight store, with a token bucket. */
 export class StoreLoadBudget {
   readonly #clock: Clock;
   #ratePerMs = 0;
   #tokens = BURST;
-  #atMs: number;
+  #refilledMs: number;
 
   constructor(clock: Clock) {
     this.#clock = clock;
-    this.#atMs = clock.now();
+    this.#refilledMs = clock.now();
   }
 
+  /** Sets the weight store's rate, in loads per second. */
   setRate(perSecond: number): void {
     this.#refill();
-    this.#ratePerMs = (SHARE * perSecond) / 1000;
+    this.#ratePerMs = (USED_RATE_SHARE * perSecond) / 1000;
   }
 
+  /** Takes one load from the budget. Returns false if it is used up. */
   take(): boolean {
     this.#refill();
     if (this.#tokens < 1) return false;
@@ -30,7 +33,7 @@
 
   #refill(): void {
     const nowMs = this.#clock.now();
-    this.#tokens = Math.min(BURST, this.#tokens + (nowMs - this.#atMs) * this.#ratePerMs);
-    this.#atMs = nowMs;
+    this.#tokens = Math.min(BURST, this.#tokens + (nowMs - this.#refilledMs) * this.#ratePerMs);
+    this.#refilledMs = nowMs;
   }
 }
--- a/packages/slots/test/rate-limit.test.ts
+++ b/packages/slots/test/rate-limit.test.ts
@@ -1,4 +1,4 @@
-/** Engines that name how many requests a second they take from all nodes together, before a pool that grants all of them. */
+/** Engines that state a limit on requests per second for all nodes together, in a pool whose leader makes all grants. */
 import { Random, VirtualClock, hashSeed } from '@canvasridge/clock';
 import test from 'ava';
 import type { SlotDecision, SlotPool } from '../src/index.js';
@@ -6,22 +6,24 @@
 import { newRequest } from './new-request.js';
 import { SimulatedEngine } from './simulated-engines.js';
 
+/** By this time a new pool holds the order leases of its engines. */
 const HELD_MS = 5000;
 const PER_SECOND = 1.4;
 const RULE = { ratePerSecond: PER_SECOND, burst: 2 };
 const WINDOW_MS = 4000;
+/** How long a granted request runs. */
 const RUN_MS = 300;
 const SEEDS = [1, 2, 3, 4, 5];
 
 interface Figures {
   readonly grantedMs: Map<string, number[]>;
   refused: number;
-  /** Time until requests that were refused knew it. */
+  /** Longest time until a refused request got its refusal. */
   longestRefusalMs: number;
 }
 
-/** Requests for a few adapters, so many a second, which run for a while where they are granted. */
-async function play(
+/** Sends about 20 requests per second for a few adapters. Granted requests run for a while. */
+async function runLoad(
   clock: VirtualClock,
   pool: SlotPool,
   seed: number,
@@ -50,7 +52,8 @@
   return figures;
 }
 
-function fullest(timesMs: readonly number[]): number {
+/** Largest number of times that fall into one window. */
+function maxInWindow(timesMs: readonly number[]): number {
   const counts = timesMs.map(
     (fromMs) => timesMs.filter((atMs) => atMs >= fromMs && atMs < fromMs + WINDOW_MS).length,
   );
@@ -67,30 +70,30 @@
   return { clock, pool };
 }
 
-const MOST_IN_WINDOW = 1.5 * PER_SECOND * (WINDOW_MS / 1000) + 5;
+const MAX_IN_WINDOW = 1.5 * PER_SECOND * (WINDOW_MS / 1000) + 5;
 
-test('an engine that names a limit is granted within it; its adapters are served by the others', async (t) => {
+test('an engine with a rate limit gets no more than its limit, and other engines serve its adapters', async (t) => {
   for (const seed of SEEDS) {
     const { clock, pool } = await startPool(3);
-    await play(clock, pool, seed, 5);
+    await runLoad(clock, pool, seed, 5);
     pool.setRateLimit('e0', RULE);
-    const { grantedMs, refused } = await play(clock, pool, seed + 100, 30);
+    const { grantedMs, refused } = await runLoad(clock, pool, seed + 100, 30);
     const limited = grantedMs.get('e0') ?? [];
-    t.true(fullest(limited) <= MOST_IN_WINDOW, `seed ${seed}: ${fullest(limited)} in 4 s`);
+    t.true(maxInWindow(limited) <= MAX_IN_WINDOW, `seed ${seed}: ${maxInWindow(limited)} in 4 s`);
     t.true(limited.length <= PER_SECOND * 30 + RULE.burst, `seed ${seed}: ${limited.length} in 30 s`);
     t.is(refused, 0, `seed ${seed}`);
     t.log(`seed ${seed}: used ${(limited.length / (PER_SECOND * 30)).toFixed(2)} of the limit`);
   }
 });
 
-test('where all engines name a limit, it is used, and what is beyond it is refused as soon as that is known', async (t) => {
+test('if all engines have a rate limit, the limits are used up and requests beyond them are refused', async (t) => {
   for (const seed of SEEDS) {
     const { clock, pool } = await startPool(3);
-    await play(clock, pool, seed, 5);
+    await runLoad(clock, pool, seed, 5);
     for (const id of ['e0', 'e1', 'e2']) pool.setRateLimit(id, RULE);
-    const { grantedMs, refused } = await play(clock, pool, seed + 100, 30);
+    const { grantedMs, refused } = await runLoad(clock, pool, seed + 100, 30);
     for (const [id, timesMs] of grantedMs) {
-      t.true(fullest(timesMs) <= MOST_IN_WINDOW, `seed ${seed}: ${id} ${fullest(timesMs)} in 4 s`);
+      t.true(maxInWindow(timesMs) <= MAX_IN_WINDOW, `seed ${seed}: ${id} ${maxInWindow(timesMs)} in 4 s`);
     }
     const granted = [...grantedMs.values()].flat().length;
     t.true(granted >= 0.9 * 3 * PER_SECOND * 30, `seed ${seed}: ${granted} granted`);
@@ -98,7 +101,7 @@
   }
 });
 
-test('a grant tells of the limit it was made within, and of one that has ended', async (t) => {
+test('a grant states the rate limit it was made within, or that a former limit has ended', async (t) => {
   const { clock, pool } = await startPool(1);
   const rates: unknown[] = [];
   const ask = async (): Promise<void> => {
--- a/packages/slots/test/simulated-engines.ts
+++ b/packages/slots/test/simulated-engines.ts
@@ -2,14 +2,15 @@
 import type { BackendDescription, EngineProfile } from '@canvasridge/serving';
 import type { EngineControl, EngineOrder, EngineReport, OrderReply } from '../src/index.js';
 
-/** Times of a simulated engine, in milliseconds. */
+/** Network delay of a message to or from an engine. */
 const ONE_WAY_MS = 2;
+/** Age of the state that reports show. */
 const REPORT_LAG_MS = 200;
 const COLD_LOAD_MS = 250;
 const WARM_LOAD_MS = 25;
 export const LEASE_MS = 3000;
-/** Adapters that may be on their way at the same time. */
-const MOST_PENDING = 4;
+/** Maximum number of adapters that an engine loads at the same time. */
+const MAX_PENDING = 4;
 
 export const MODEL = 'base';
 export const PROFILE: EngineProfile = {
@@ -26,29 +27,30 @@
 }
 
 /**
- * An engine as the platform's are: it counts the orders it takes, names a repeated load or unload done without
- * counting it, reports with a lag, falls when told to hold too much, and checks fences if it is told to.
+ * Simulates an engine of the platform. It counts the orders it carries out, answers a repeated load or unload without
+ * counting it, reports with a lag, and optionally checks fences. It records a violation if it is ordered to hold too many
+ * adapters or if holders break the rules for taking turns.
  */
 export class SimulatedEngine {
   readonly description: BackendDescription;
-  /** Orders that came, whatever the answer to them: holders are judged by these. */
+  /** All received orders, whatever the answer. The rules for holders are checked on these. */
   readonly arrived: TimedOrder[] = [];
-  /** Those of them that were carried out and counted. */
-  readonly taken: TimedOrder[] = [];
+  /** Orders that were carried out and counted. */
+  readonly appliedOrders: TimedOrder[] = [];
   readonly violations: string[] = [];
-  /** Orders refused since the count differed or too many adapters were on their way. */
+  /** Number of orders rejected because the count differed or too many adapters were loading. */
   conflicts = 0;
-  /** Loses answers to orders while true; the orders are taken. */
+  /** While true, orders are carried out but their answers are lost. */
   losesAnswers = false;
   reachable = true;
-  /** Until when reports say that an order is under way. */
+  /** Until when reports show a model load or unload in progress. */
   busyUntilMs = 0;
-  /** Refuses fences that are lower than one it saw. Holders may then follow one another at once. */
+  /** Whether orders with a lower fence than seen before are rejected. Holders may then succeed one another at once. */
   checksFences = false;
   #highestFence = 0;
   readonly #clock: Clock;
   readonly #adapters = new Map<string, { readyAtMs: number }>();
-  readonly #remembered = new Set<string>();
+  readonly #hostMemory = new Set<string>();
   readonly #history: { atMs: number; report: EngineReport }[] = [];
   #count = 0;
 
@@ -63,16 +65,16 @@
       slots: PROFILE.batchSlots,
       models: [{ name: MODEL, adapters: [] }],
     };
-    this.#remember();
+    this.#recordState();
   }
 
-  /** Whether a request for the adapter would run now. */
+  /** Whether the adapter is loaded, so that a request for it would run. */
   serves(adapter: string): boolean {
     const held = this.#adapters.get(adapter);
     return held !== undefined && held.readyAtMs <= this.#clock.now();
   }
 
-  /** The highest fence of any order that came, also of one that changed nothing. */
+  /** The highest fence of any received order, including orders that changed nothing. */
   get highestFence(): number {
     return this.#highestFence;
   }
@@ -80,9 +82,9 @@
   async report(): Promise<EngineReport | undefined> {
     await this.#clock.sleep(2 * ONE_WAY_MS);
     if (!this.reachable) return undefined;
-    const shownMs = this.#clock.now() - REPORT_LAG_MS;
-    if (this.busyUntilMs > 0) this.#remember();
-    return this.#history.findLast((entry) => entry.atMs <= shownMs)?.report ?? this.#history[0]?.report;
+    const reportedMs = this.#clock.now() - REPORT_LAG_MS;
+    if (this.busyUntilMs > 0) this.#recordState();
+    return this.#history.findLast((entry) => entry.atMs <= reportedMs)?.report ?? this.#history[0]?.report;
   }
 
   async order(order: EngineOrder): Promise<OrderReply> {
@@ -91,14 +93,14 @@
       await this.#clock.sleep(600);
       return { kind: 'unknown', detail: 'no answer' };
     }
-    const reply = this.#take(order);
+    const reply = this.#applyOrder(order);
     if (reply.kind === 'conflict') this.conflicts += 1;
     await this.#clock.sleep(ONE_WAY_MS);
     return this.losesAnswers ? { kind: 'unknown', detail: 'answer lost' } : reply;
   }
 
-  #take(order: EngineOrder): OrderReply {
-    this.#judge(order);
+  #applyOrder(order: EngineOrder): OrderReply {
+    this.#checkHolderRules(order);
     if (this.checksFences && order.fence < this.#highestFence) return { kind: 'fenced' };
     this.#highestFence = Math.max(this.#highestFence, order.fence);
     const adapter = order.adapter ?? '';
@@ -110,20 +112,21 @@
       return { kind: 'done' };
     }
     if (order.expectedCount !== this.#count) return { kind: 'conflict' };
-    if (order.action === 'load' && this.#pendingCount() >= MOST_PENDING) return { kind: 'conflict' };
-    this.taken.push({ atMs: this.#clock.now(), order });
+    if (order.action === 'load' && this.#pendingCount() >= MAX_PENDING) return { kind: 'conflict' };
+    this.appliedOrders.push({ atMs: this.#clock.now(), order });
     this.#count += 1;
     if (order.action === 'unload') this.#adapters.delete(adapter);
     else this.#load(adapter);
-    this.#remember();
+    this.#recordState();
     return { kind: order.action === 'unload' ? 'done' : 'accepted' };
   }
 
   #load(adapter: string): void {
-    const loadMs = this.#remembered.has(adapter) ? WARM_LOAD_MS : COLD_LOAD_MS;
+    const loadMs = this.#hostMemory.has(adapter) ? WARM_LOAD_MS : COLD_LOAD_MS;
     this.#adapters.set(adapter, { readyAtMs: this.#clock.now() + loadMs });
-    this.#remembered.add(adapter);
-    if (this.#adapters.size > PROFILE.adapterSlots) this.violations.push(`LIMIT: ${adapter} is one too many`);
+    this.#hostMemory.add(adapter);
+    if (this.#adapters.size > PROFILE.adapterSlots)
+      this.violations.push(`LIMIT: ${adapter} exceeds the adapter slots`);
   }
 
   #pendingCount(): number {
@@ -131,22 +134,23 @@
   }
 
   /**
-   * The users' rule on holders: no turns within a lease, no shared fence, no lower fence after a higher one. An order that
-   * is refused or changes nothing counts as well: it shows that its sender took itself for the holder.
+   * Checks the users' rules for holders: no orders of two holders within one lease, no fence used by two holders, and no
+   * lower fence after a higher one. Rejected orders and orders that change nothing count as well, because they show that
+   * the sender believed itself to be the holder.
    */
-  #judge(order: EngineOrder): void {
+  #checkHolderRules(order: EngineOrder): void {
     const last = this.arrived.at(-1);
     const atMs = this.#clock.now();
     this.arrived.push({ atMs, order });
     if (last === undefined || this.#isSharedFence(order, last.order, atMs) || this.checksFences) return;
     if (order.fence < this.#highestFence) this.violations.push(`ONE: fence fell at ${atMs}`);
     if (order.holder !== last.order.holder && atMs - last.atMs < LEASE_MS)
-      this.violations.push(`ONE: turns within the lease at ${atMs}`);
+      this.violations.push(`ONE: two holders within one lease at ${atMs}`);
   }
 
   #isSharedFence(order: EngineOrder, last: EngineOrder, atMs: number): boolean {
     const isShared = order.fence === last.fence && order.holder !== last.holder;
-    if (isShared) this.violations.push(`ONE: fence of two holders at ${atMs}`);
+    if (isShared) this.violations.push(`ONE: two holders used the same fence at ${atMs}`);
     return isShared;
   }
 
@@ -154,7 +158,7 @@
     return this.#clock.now() < this.busyUntilMs;
   }
 
-  #remember(): void {
+  #recordState(): void {
     const adapters = [];
     const pending = [];
     for (const [name, held] of this.#adapters) {
@@ -167,7 +171,7 @@
   }
 }
 
-/** Calls to a set of simulated engines. */
+/** Control calls to a set of simulated engines. */
 export class SimulatedControl implements EngineControl {
   readonly #engines: ReadonlyMap<string, SimulatedEngine>;
 
@@ -175,7 +179,7 @@
     this.#engines = new Map(engines.map((engine) => [engine.description.id, engine]));
   }
 
-  /** Simulated engines say nothing of themselves beside what they are asked for. */
+  /** Simulated engines send no notices. */
   onNotice(): void {
     return;
   }
--- a/packages/slots/test/tenant-fairness.test.ts
+++ b/packages/slots/test/tenant-fairness.test.ts
@@ -1,31 +1,34 @@
 /**
- * One tenant sends six times its usual while it is below its quota, so that more is asked than the engines serve. The
- * load: 16 tenants of sizes by Zipf's law, 400 requests a second, 420 served a second; the second largest one jumps. Two
- * ways on the same requests: by deadline alone, all tenants lose alike, the quiet ones as much as the one that
- * jumped; in turns, the quiet ones are served as before, and the one that jumped gets what is left.
+ * Guards against one tenant crowding out the others: it sends six times its usual load while still below its quota, so that
+ * demand exceeds what the engines serve.
+ *
+ * The load: 16 tenants with Zipf-distributed rates, 400 requests per second in total, of a capacity of 420; the second
+ * largest tenant surges. The same requests are scheduled in two ways. By deadline alone, all tenants lose equally. With
+ * fair queueing, the other tenants are served as before and the surging one gets the remaining capacity.
  */
 import { Random } from '@canvasridge/clock';
 import test from 'ava';
 import { WaitingList, type SlotRequest, type WaitingRequest } from '../src/index.js';
 
 const TENANTS = 16;
-const HOT = 1;
-const JUMP = 6;
+const SURGING_TENANT = 1;
+const SURGE_FACTOR = 6;
 const USUAL_PER_SECOND = 400;
 const SERVED_PER_SECOND = 420;
 const OBJECTIVE_MS = 1000;
 const STEP_MS = 10;
-const PLAY_MS = 8000;
-/** A tenant is starved if it is served less often than this part of how often all are. */
+const RUN_MS = 8000;
+/** A tenant is starved if its served share is below this fraction of the served share of all tenants. */
 const STARVED_SHARE = 0.25;
-const GAP_MS = 1000 / SERVED_PER_SECOND;
+const START_INTERVAL_MS = 1000 / SERVED_PER_SECOND;
 
 interface Served {
   readonly asked: number[];
   readonly inTime: number[];
 }
 
-function sizes(): number[] {
+/** Requests per second of each tenant without the surge. */
+function usualRates(): number[] {
   const weights = Array.from({ length: TENANTS }, (_, index) => 1 / (index + 1));
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   return weights.map((weight) => (weight / total) * USUAL_PER_SECOND);
@@ -51,13 +54,13 @@
   return { request: request(id, tenant), arrivedMs, ...wait };
 }
 
-function play(list: WaitingList): Served {
+function simulate(list: WaitingList): Served {
   const random = new Random(3);
-  const rates = sizes().map((rate, tenant) => (tenant === HOT ? rate * JUMP : rate));
+  const rates = usualRates().map((rate, tenant) => (tenant === SURGING_TENANT ? rate * SURGE_FACTOR : rate));
   const served: Served = { asked: rates.map(() => 0), inTime: rates.map(() => 0) };
   let nextId = 0;
   let capacity = 0;
-  for (let nowMs = 0; nowMs < PLAY_MS; nowMs += STEP_MS) {
+  for (let nowMs = 0; nowMs < RUN_MS; nowMs += STEP_MS) {
     for (const [tenant, rate] of rates.entries()) {
       const arriving = Math.floor((rate * STEP_MS) / 1000 + random.next());
       served.asked[tenant] = (served.asked[tenant] ?? 0) + arriving;
@@ -82,29 +85,38 @@
   return served;
 }
 
-/** Parts served in time: the least over the tenants that did not jump, the one that did, and all together. */
-interface Parts {
-  readonly leastOfOthers: number;
-  readonly hot: number;
+/** Fractions of requests served in time. */
+interface ServedShares {
+  /** Minimum over the tenants that do not surge. */
+  readonly minOfOthers: number;
+  readonly surging: number;
   readonly all: number;
 }
 
-function parts({ asked, inTime }: Served): Parts {
+function servedShares({ asked, inTime }: Served): ServedShares {
   const all = asked.map((count, tenant) => (inTime[tenant] ?? 0) / Math.max(count, 1));
-  const others = all.filter((_, tenant) => tenant !== HOT);
+  const others = all.filter((_, tenant) => tenant !== SURGING_TENANT);
   const total = (counts: readonly number[]): number => counts.reduce((sum, count) => sum + count, 0);
-  return { leastOfOthers: Math.min(...others), hot: all[HOT] ?? 0, all: total(inTime) / total(asked) };
+  return {
+    minOfOthers: Math.min(...others),
+    surging: all[SURGING_TENANT] ?? 0,
+    all: total(inTime) / total(asked),
+  };
 }
 
-test('tenants that ask for no more than before are served as before while another jumps', (t) => {
-  const byDeadline = parts(play(new WaitingList(() => 0, new Set(['fair-tenants']))));
-  const usual = sizes();
+test('tenants whose load does not change are served as before while another tenant surges', (t) => {
+  const byDeadline = servedShares(simulate(new WaitingList(() => 0, new Set(['fair-tenants']))));
+  const usual = usualRates();
   const weightOf = (tenant: string): number => usual[Number(tenant.slice('tenant-'.length))] ?? 1;
-  const turns = { gapMs: () => GAP_MS, weightOf };
-  const inTurns = parts(play(new WaitingList(() => 0, new Set(), turns)));
-  t.log(`by deadline: least ${byDeadline.leastOfOthers.toFixed(2)}, hot ${byDeadline.hot.toFixed(2)}`);
-  t.log(`in turns: least ${inTurns.leastOfOthers.toFixed(2)}, hot ${inTurns.hot.toFixed(2)}`);
-  t.true(inTurns.leastOfOthers > 0.9);
-  t.true(inTurns.leastOfOthers > byDeadline.leastOfOthers);
-  t.true(inTurns.hot > STARVED_SHARE * inTurns.all, 'nor is the one that jumped starved');
+  const sharing = { gapMs: () => START_INTERVAL_MS, weightOf };
+  const fairly = servedShares(simulate(new WaitingList(() => 0, new Set(), sharing)));
+  t.log(
+    `by deadline: minimum of others ${byDeadline.minOfOthers.toFixed(2)}, surging ${byDeadline.surging.toFixed(2)}`,
+  );
+  t.log(
+    `fair queueing: minimum of others ${fairly.minOfOthers.toFixed(2)}, surging ${fairly.surging.toFixed(2)}`,
+  );
+  t.true(fairly.minOfOthers > 0.9);
+  t.true(fairly.minOfOthers > byDeadline.minOfOthers);
+  t.true(fairly.surging > STARVED_SHARE * fairly.all, 'the surging tenant is not starved either');
 });
