--- a/packages/gateway/test/running-node.ts
+++ b/packages/gateway/test/running-node.ts
@@ -5,27 +5,27 @@
 import { EventLogger, Telemetry } from '@canvasridge/telemetry';
 import type { ExecutionContext } from 'ava';
 import { GatewayNode, NO_KEY_LEASE, type KeyLease } from '../src/index.js';
-import { SERVICE, configuration, dialect, type RouteChanges } from './harness.js';
+import { SERVICE, configuration, dialect, type RouteOverrides } from './harness.js';
 import { RawBackend, type RawAnswer } from './raw-backend.js';
 
 const LOOPBACK = '127.0.0.1';
-/** Time that a planned stop of a fleet's nodes may take, so that a test ends soon. */
+/** Grace period for a planned stop of the nodes of a fleet, short so that tests end soon. */
 const FLEET_GRACE_MS = 800;
 
 export interface RunningNodeOptions {
-  readonly route?: RouteChanges;
-  /** Where operators name tenants: who they are, and how long a node relies on what it knows of them. */
+  readonly route?: RouteOverrides;
+  /** If the configuration has tenants: the tenants, and how long a node may rely on that configuration. */
   readonly tenants?: { readonly all: readonly Tenant[]; readonly lease: KeyLease };
   readonly clock?: Clock;
-  /** Time that a planned stop may take. */
+  /** Grace period for a planned stop, in milliseconds. */
   readonly graceMs: number;
 }
 
-/** A whole node on real sockets before one backend. */
+/** A complete gateway node on real sockets, in front of one backend. */
 export interface RunningNode {
   readonly node: GatewayNode;
   readonly port: number;
-  /** Requests that the backend got, by the names that their callers gave them. */
+  /** Attempt ids of the requests that reached the backend. */
   readonly attempts: readonly string[];
   /** Log lines of the node. */
   readonly lines: readonly string[];
@@ -39,7 +39,7 @@
   return port;
 }
 
-/** Starts a node with one route, to a backend that answers as told. Who starts it stops it. */
+/** Starts a node with one route to a scripted backend. The caller has to stop the node. */
 export async function startNode(
   t: ExecutionContext,
   { route = {}, graceMs, tenants, clock }: RunningNodeOptions,
@@ -55,23 +55,23 @@
   fleet.applyConfiguration(configuration({ timeoutMs: 60_000, ...route }, tenants?.all));
   fleet.applyBackend(1, backend.description('i1', SERVICE));
   const place = { nodeId: 'n1', peerPort: await freePort(), seeds: [], graceMs };
-  const started = await startOn(fleet, place, clock, tenants?.lease);
+  const started = await startGateway(fleet, place, clock, tenants?.lease);
   return { ...started, attempts };
 }
 
-/** Nodes that know one another, before the same backends. */
+/** Nodes of one cluster in front of the same backends. */
 export interface RunningFleet {
   readonly nodes: readonly Omit<RunningNode, 'attempts'>[];
   readonly backends: readonly RawBackend[];
-  /** Starts one more node, which knows nothing but the addresses of the others. */
+  /** Starts one more node, which knows only the addresses of the others. */
   readonly add: () => Promise<Omit<RunningNode, 'attempts'>>;
 }
 
-/** Starts so many nodes and backends; all end with the test. */
+/** Starts the given numbers of nodes and backends; all are stopped when the test ends. */
 export async function startFleet(
   t: ExecutionContext,
   counts: { readonly nodes: number; readonly backends: number },
-  route: RouteChanges,
+  route: RouteOverrides,
   answer: RawAnswer,
 ): Promise<RunningFleet> {
   const backends: RawBackend[] = [];
@@ -87,7 +87,12 @@
     );
     const peerPort = await freePort();
     const nodeId = `n${seeds.length}`;
-    const started = await startOn(fleet, { nodeId, peerPort, seeds: [...seeds], graceMs: FLEET_GRACE_MS });
+    const started = await startGateway(fleet, {
+      nodeId,
+      peerPort,
+      seeds: [...seeds],
+      graceMs: FLEET_GRACE_MS,
+    });
     t.teardown(() => started.node.stop());
     seeds.push(`${LOOPBACK}:${peerPort}`);
     nodes.push(started);
@@ -97,16 +102,16 @@
   return { nodes, backends, add };
 }
 
-interface NodePlace {
+interface NodeSettings {
   readonly nodeId: string;
   readonly peerPort: number;
   readonly seeds: readonly string[];
   readonly graceMs: number;
 }
 
-async function startOn(
+async function startGateway(
   fleet: FleetState,
-  place: NodePlace,
+  own: NodeSettings,
   clock: Clock = new SystemClock(),
   keyLease: KeyLease = NO_KEY_LEASE,
 ): Promise<Omit<RunningNode, 'attempts'>> {
@@ -114,12 +119,12 @@
   const port = await freePort();
   const node = await GatewayNode.start({
     settings: {
-      nodeId: place.nodeId,
+      nodeId: own.nodeId,
       zone: 'a',
       region: 'r',
       ip: LOOPBACK,
       frontPort: port,
-      peerPort: place.peerPort,
+      peerPort: own.peerPort,
       peerKey: 'k',
       capacity: 1,
       retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 50 },
@@ -130,15 +135,15 @@
       memoryBytes: 256 * 1024 * 1024,
       keyLease,
       quotaTolerance: undefined,
-      stopGraceMs: place.graceMs,
+      stopGraceMs: own.graceMs,
       firstStart: true,
     },
-    seeds: () => place.seeds,
+    seeds: () => own.seeds,
     clock,
     telemetry: new Telemetry({
-      processName: place.nodeId,
+      processName: own.nodeId,
       clock,
-      logger: new EventLogger(place.nodeId, 'info', (line) => lines.push(line)),
+      logger: new EventLogger(own.nodeId, 'info', (line) => lines.push(line)),
     }),
     dialect,
     control: {
--- a/packages/gateway/test/slot-picker.test.ts
+++ b/packages/gateway/test/slot-picker.test.ts
@@ -13,16 +13,19 @@
   return { id, service: 'llm', address: `${id}:1`, zone: 'a', state, slots: 8, models: [] };
 }
 
-/** A leader that has not heard yet that an engine leaves: it names the first that is not excluded. */
-class LateLeader implements SlotSource {
+/**
+ * A leader that does not know yet that an engine is leaving: it grants the first engine that is not
+ * excluded.
+ */
+class OutdatedLeader implements SlotSource {
   readonly released: { requestId: string; outcome: UseOutcome }[] = [];
-  /** Runs while a request waits for its slot. */
+  /** Called while a request waits for its slot. */
   whileWaiting: () => Promise<void> = () => Promise.resolve();
 
   constructor(
     readonly engines: readonly string[],
     readonly entryRevision: number | undefined,
-    /** Limit within which engines are granted: see {@link SlotDecision}. */
+    /** Rate limit within which engines are granted: see {@link SlotDecision}. */
     readonly ratePerSecond?: number | null,
     readonly entryEra?: number,
   ) {}
@@ -31,13 +34,20 @@
     await this.whileWaiting();
     const backendId = this.engines.find((id) => !request.excluded.includes(id)) ?? 'none';
     const { entryRevision, entryEra } = this;
-    const point = {
+    const position = {
       ...(entryRevision === undefined ? {} : { entryRevision }),
       ...(entryEra === undefined ? {} : { entryEra }),
     };
-    const told = backendId === 'leaving' ? point : {};
+    const entryPosition = backendId === 'leaving' ? position : {};
     const rate = this.ratePerSecond === undefined ? {} : { ratePerSecond: this.ratePerSecond };
-    return { kind: 'granted', requestId: request.id, backendId, address: `${backendId}:1`, ...told, ...rate };
+    return {
+      kind: 'granted',
+      requestId: request.id,
+      backendId,
+      address: `${backendId}:1`,
+      ...entryPosition,
+      ...rate,
+    };
   }
 
   began(): void {
@@ -91,17 +101,17 @@
   backoffs: BackendBackoffs,
   rateLimits = noRateLimits(clock),
 ): BackendAvailability {
-  return new BackendAvailability({ fleet, backoffs, rateLimits, clock, othersServe: () => true });
+  return new BackendAvailability({ fleet, backoffs, rateLimits, clock, hasOtherServingNodes: () => true });
 }
 
-async function pickAfter(
+async function pickWithFleet(
   change: (fleet: FleetState) => void,
   entryRevision?: number,
   entryEra?: number,
-): Promise<{ picked: string; leader: LateLeader }> {
+): Promise<{ picked: string; leader: OutdatedLeader }> {
   const fleet = new FleetState();
   change(fleet);
-  const leader = new LateLeader(['leaving', 'stays'], entryRevision, undefined, entryEra);
+  const leader = new OutdatedLeader(['leaving', 'stays'], entryRevision, undefined, entryEra);
   const clock = new VirtualClock();
   const backoffs = new BackendBackoffs(clock);
   const availability = availabilityOf(fleet, clock, backoffs);
@@ -110,8 +120,8 @@
   return { picked: result.kind === 'picked' ? result.backend.id : result.reason, leader };
 }
 
-test('an engine that this node knows to leave is not used, though the leader still names it', async (t) => {
-  const { picked, leader } = await pickAfter((fleet) => {
+test('an engine that this node knows to be leaving is not used, although the leader still grants it', async (t) => {
+  const { picked, leader } = await pickWithFleet((fleet) => {
     listBoth(fleet);
     fleet.applyBackend(3, engine('leaving', 'draining'));
   });
@@ -119,8 +129,8 @@
   t.deepEqual(leader.released, [{ requestId: 'r1', outcome: 'refused' }]);
 });
 
-test('an engine that said so to this node is not asked for in the first place, however its entry stands', async (t) => {
-  const { picked, leader } = await pickAfter((fleet) => {
+test('an engine that announced its leaving to this node is excluded from the slot request, whatever its entry says', async (t) => {
+  const { picked, leader } = await pickWithFleet((fleet) => {
     listBoth(fleet);
     fleet.noteAnnounced('leaving', 'answer');
   });
@@ -128,111 +138,122 @@
   t.deepEqual(leader.released, []);
 });
 
-test('nor is one that this node knows to be gone', async (t) => {
-  const { picked } = await pickAfter((fleet) => {
+test('an engine that this node knows to be removed is not used', async (t) => {
+  const { picked } = await pickWithFleet((fleet) => {
     listBoth(fleet);
     fleet.removeBackend(3, 'leaving');
   });
   t.is(picked, 'stays');
 });
 
-/** The list of a node that never saw the engine `leaving`, complete up to revision 20. */
-function neverSaw(fleet: FleetState): void {
+/**
+ * Lists the backends as for a node that never saw the engine `leaving`; the list is complete up to revision
+ * 20.
+ */
+function listWithoutLeaving(fleet: FleetState): void {
   fleet.replaceBackends(20, [{ revision: 2, value: engine('stays') }]);
 }
 
-test('an engine that this node never listed, though its list is newer than the entry, is gone', async (t) => {
-  const { picked, leader } = await pickAfter(neverSaw, 20);
+test('an engine that this node never listed counts as removed if its list is newer than the entry', async (t) => {
+  const { picked, leader } = await pickWithFleet(listWithoutLeaving, 20);
   t.is(picked, 'stays');
   t.deepEqual(leader.released, [{ requestId: 'r1', outcome: 'refused' }]);
 });
 
-test('an engine whose entry is newer than the list of this node is used on the word of the leader', async (t) => {
-  const { picked } = await pickAfter((fleet) => fleet.confirmBackends(20), 21);
+test('an engine whose entry is newer than the list of this node is used as the leader grants it', async (t) => {
+  const { picked } = await pickWithFleet((fleet) => fleet.confirmBackends(20), 21);
   t.is(picked, 'leaving');
 });
 
-// Guards against grants by a leader that has not heard yet that the publishing store came back from a copy, and the reverse.
-test('an engine whose entry is of an earlier era than the list of this node is gone, one of a later era is new', async (t) => {
+// Guards against grants by a leader that does not know yet that the publishing store was restored from a
+// copy, and against the reverse case.
+test('an engine with an entry from an earlier era than the list of this node counts as removed, one from a later era as new', async (t) => {
   const inEra = (fleet: FleetState): void => {
     fleet.enterEra(2);
-    neverSaw(fleet);
+    listWithoutLeaving(fleet);
   };
-  t.is((await pickAfter(inEra, 99, 1)).picked, 'stays');
-  t.is((await pickAfter(inEra, 21, 2)).picked, 'leaving');
-  t.is((await pickAfter(inEra, 1, 3)).picked, 'leaving');
-  t.is((await pickAfter(inEra, 20)).picked, 'stays', 'a leader that names no era');
+  t.is((await pickWithFleet(inEra, 99, 1)).picked, 'stays');
+  t.is((await pickWithFleet(inEra, 21, 2)).picked, 'leaving');
+  t.is((await pickWithFleet(inEra, 1, 3)).picked, 'leaving');
+  t.is((await pickWithFleet(inEra, 20)).picked, 'stays', 'a leader that sends no era');
 });
 
-test('an engine that is not listed here yet is used on the word of the leader', async (t) => {
-  const { picked } = await pickAfter((fleet) => fleet.applyBackend(2, engine('stays')));
+test('an engine that is not listed on this node yet is used as the leader grants it', async (t) => {
+  const { picked } = await pickWithFleet((fleet) => fleet.applyBackend(2, engine('stays')));
   t.is(picked, 'leaving');
 });
 
-interface Shedding {
+interface PickerSetup {
   readonly picker: SlotPicker;
-  readonly leader: LateLeader;
+  readonly leader: OutdatedLeader;
   readonly clock: VirtualClock;
   readonly backoffs: BackendBackoffs;
 }
 
-/** Two engines that the leader grants, and what they asked this node for. */
-function beforeShedding(): Shedding {
+/** Sets up a picker with two engines that the leader grants, and no backoffs yet. */
+function newPickerSetup(): PickerSetup {
   const fleet = new FleetState();
   listBoth(fleet);
-  const leader = new LateLeader(['leaving', 'stays'], undefined);
+  const leader = new OutdatedLeader(['leaving', 'stays'], undefined);
   const clock = new VirtualClock();
   const backoffs = new BackendBackoffs(clock);
   const availability = availabilityOf(fleet, clock, backoffs);
   return { picker: new SlotPicker(fleet, availability, leader, clock), leader, clock, backoffs };
 }
 
-const NEVER = new AbortController().signal;
+const NOT_CANCELLED = new AbortController().signal;
 
-test('an engine that wants nothing from this node is not asked for until its time has ended', async (t) => {
-  const { picker, leader, clock, backoffs } = beforeShedding();
-  backoffs.note('leaving', 1000);
-  t.like(await picker.pick(CONTEXT, NEVER), { backend: { id: 'stays' } });
+test('an engine that asked this node to back off is excluded from slot requests until that ends', async (t) => {
+  const { picker, leader, clock, backoffs } = newPickerSetup();
+  backoffs.record('leaving', 1000);
+  t.like(await picker.pick(CONTEXT, NOT_CANCELLED), { backend: { id: 'stays' } });
   t.deepEqual(leader.released, []);
   await clock.runUntil(1000);
-  t.like(await picker.pick(CONTEXT, NEVER), { backend: { id: 'leaving' } });
+  t.like(await picker.pick(CONTEXT, NOT_CANCELLED), { backend: { id: 'leaving' } });
 });
 
-test('a slot at an engine that asked for a time meanwhile is given back as unused, and another one asked for', async (t) => {
-  const { picker, leader, backoffs, clock } = beforeShedding();
+test('a slot of an engine that asked for a backoff in the meantime is released as unused, and another one is requested', async (t) => {
+  const { picker, leader, backoffs, clock } = newPickerSetup();
   let waits = 0;
   leader.whileWaiting = async () => {
     waits += 1;
     if (waits > 1) return;
     await clock.runUntil(50);
-    backoffs.note('leaving', 1000);
+    backoffs.record('leaving', 1000);
   };
-  t.like(await picker.pick(CONTEXT, NEVER), { backend: { id: 'stays' } });
+  t.like(await picker.pick(CONTEXT, NOT_CANCELLED), { backend: { id: 'stays' } });
   t.deepEqual(leader.released, [{ requestId: 'r1', outcome: 'cancelled' }]);
   t.is(waits, 2);
 });
 
-test('where all engines want nothing, a request is refused without asking, to be served by another node', async (t) => {
-  const { picker, leader, backoffs } = beforeShedding();
+test('if all engines are backing off, a request is refused without asking the leader, to be served by another node', async (t) => {
+  const { picker, leader, backoffs } = newPickerSetup();
   let asked = false;
   leader.whileWaiting = () => {
     asked = true;
     return Promise.resolve();
   };
-  backoffs.note('leaving', 1000);
-  backoffs.note('stays', 2000);
-  t.deepEqual(await picker.pick(CONTEXT, NEVER), { kind: 'none', reason: 'backing-off', retryAfterMs: 20 });
+  backoffs.record('leaving', 1000);
+  backoffs.record('stays', 2000);
+  t.deepEqual(await picker.pick(CONTEXT, NOT_CANCELLED), {
+    kind: 'none',
+    reason: 'backing-off',
+    retryAfterMs: 20,
+  });
   t.false(asked);
 });
 
-test('nor is one whose only other engine it has tried', async (t) => {
-  const { picker, backoffs } = beforeShedding();
-  backoffs.note('leaving', 1000);
+test('a request is also refused if the only engine that is not backing off was already tried', async (t) => {
+  const { picker, backoffs } = newPickerSetup();
+  backoffs.record('leaving', 1000);
   const context = { ...CONTEXT, excluded: ['stays'] };
-  t.like(await picker.pick(context, NEVER), { kind: 'none', reason: 'backing-off' });
+  t.like(await picker.pick(context, NOT_CANCELLED), { kind: 'none', reason: 'backing-off' });
 });
 
-/** What becomes of an engine that named a limit to this node, of which no unit is left, as the leader grants it. */
+/**
+ * Picks while the engine `leaving` has a rate limit that this node knows and that is used up;
+ * `ratePerSecond` is the limit that the leader names in its grant.
+ */
 async function pickLimited(
   ratePerSecond: number | null | undefined,
 ): Promise<{ picked: string; isLimited: boolean }> {
@@ -246,17 +267,17 @@
   rateLimits.heard('leaving', 1.4, false);
   const backoffs = new BackendBackoffs(clock);
   const availability = availabilityOf(fleet, clock, backoffs, rateLimits);
-  const leader = new LateLeader(['leaving', 'stays'], undefined, ratePerSecond);
-  const result = await new SlotPicker(fleet, availability, leader, clock).pick(CONTEXT, NEVER);
+  const leader = new OutdatedLeader(['leaving', 'stays'], undefined, ratePerSecond);
+  const result = await new SlotPicker(fleet, availability, leader, clock).pick(CONTEXT, NOT_CANCELLED);
   const picked = result.kind === 'picked' ? result.backend.id : result.reason;
   return { picked, isLimited: rateLimits.perSecond('leaving') !== undefined };
 }
 
-test('an engine that a leader grants without regard to its limit, as a build before does, needs a unit all the same', async (t) => {
+test('an engine granted without regard to its rate limit, as by an earlier build, still needs a unit', async (t) => {
   t.deepEqual(await pickLimited(undefined), { picked: 'stays', isLimited: true });
 });
 
-test('one that is granted within its limit needs none; a limit that the leader knows to have ended is forgotten', async (t) => {
+test('an engine granted within its rate limit needs no unit; a limit that the leader knows to have ended is dropped', async (t) => {
   t.deepEqual(await pickLimited(1.4), { picked: 'leaving', isLimited: true });
   t.deepEqual(await pickLimited(null), { picked: 'leaving', isLimited: false });
 });
--- a/packages/gateway/test/tenants.test.ts
+++ b/packages/gateway/test/tenants.test.ts
@@ -1,6 +1,13 @@
 import test, { type ExecutionContext } from 'ava';
 import { widened } from '../src/index.js';
-import { Harness, LEASE_MS, configuration, tenant, type RouteChanges, type Seen } from './harness.js';
+import {
+  Harness,
+  LEASE_MS,
+  configuration,
+  tenant,
+  type RouteOverrides,
+  type ClientResponse,
+} from './harness.js';
 import { success, type RawAnswer } from './raw-backend.js';
 
 const ANSWER: RawAnswer = (socket, id) => socket.write(success(id, 'done'));
@@ -8,7 +15,7 @@
 
 async function withTenants(
   t: ExecutionContext,
-  changes: RouteChanges,
+  changes: RouteOverrides,
   body: (harness: Harness) => Promise<void>,
 ): Promise<void> {
   const harness = await Harness.start({}, [ANSWER, ANSWER]);
@@ -18,21 +25,21 @@
   } finally {
     harness.stop();
   }
-  t.false(harness.lines.join().includes('key-1'), 'a key stands in a log line');
+  t.false(harness.lines.join().includes('key-1'), 'a log line contains a key');
 }
 
 function call(
   harness: Harness,
   key: string | undefined,
   headers: Record<string, string> = {},
-): Promise<Seen> {
+): Promise<ClientResponse> {
   return harness.call('a1', '/x/', 'question', key === undefined ? headers : { ...headers, key });
 }
 
-test('a request runs for the tenant that holds its key', async (t) => {
+test('a request is attributed to the tenant that holds its key', async (t) => {
   await withTenants(t, {}, async (harness) => {
     t.is((await call(harness, 'key-1b')).status, 200);
-    t.true(harness.backends.some(({ heads }) => heads.join().includes('tenant: one')));
+    t.true(harness.backends.some(({ requestHeads }) => requestHeads.join().includes('tenant: one')));
     t.true(harness.lines.some((line) => line.includes('request.finished') && line.includes('tenant=one')));
   });
 });
@@ -41,7 +48,7 @@
   ['without a key', undefined],
   ['with a key that nobody holds', 'forged'],
 ] as const) {
-  test(`a request ${name} is answered 401, and reaches no backend`, async (t) => {
+  test(`a request ${name} is answered with 401 and reaches no backend`, async (t) => {
     await withTenants(t, {}, async (harness) => {
       t.is((await call(harness, key)).status, 401);
       t.is(harness.sends, 0);
@@ -49,7 +56,7 @@
   });
 }
 
-test('a public route needs no key, but one that is given has to be held by a tenant', async (t) => {
+test('a public route needs no key, but a key that is given must belong to a tenant', async (t) => {
   await withTenants(t, { isPublic: true }, async (harness) => {
     t.is((await call(harness, undefined)).status, 200);
     t.is((await call(harness, 'key-2')).status, 200);
@@ -58,7 +65,7 @@
   });
 });
 
-test('a node whose configuration may be outdated says that nothing ran, whether it knows the key or not', async (t) => {
+test('a node whose configuration may be outdated answers that nothing ran, whether it knows the key or not', async (t) => {
   await withTenants(t, {}, async (harness) => {
     harness.configurationAgeMs = LEASE_MS + 1;
     for (const key of ['key-1', 'forged', undefined]) t.is((await call(harness, key)).status, 503);
@@ -66,7 +73,7 @@
   });
 });
 
-test('a key that is withdrawn between the choice of a backend and the send runs nothing', async (t) => {
+test('a request whose key is revoked between the choice of a backend and the send is not run', async (t) => {
   await withTenants(t, {}, async (harness) => {
     harness.beforeSend = () => {
       harness.fleet.applyConfiguration(configuration({}, [tenant('two', ['key-2'])], 3));
@@ -77,7 +84,7 @@
   });
 });
 
-test('a lease that ends between the choice of a backend and the send runs nothing', async (t) => {
+test('a request is not run if the configuration lease expires between the choice of a backend and the send', async (t) => {
   await withTenants(t, {}, async (harness) => {
     harness.beforeSend = () => {
       harness.configurationAgeMs = LEASE_MS + 1;
@@ -88,7 +95,7 @@
   });
 });
 
-test('a key that two tenants hold names none, and an entry that is not understood allows nothing', async (t) => {
+test('a key that two tenants hold identifies neither, and a tenant entry that cannot be read grants no access', async (t) => {
   const harness = await Harness.start({}, [ANSWER]);
   const shared = [tenant('one', ['both']), tenant('two', ['both', 'own'])];
   const unread = tenant('three', ['unread'], { problem: 'unit: not known' });
@@ -100,7 +107,7 @@
   harness.stop();
 });
 
-test('an empty list of tenants allows nobody', async (t) => {
+test('an empty list of tenants grants access to nobody', async (t) => {
   const harness = await Harness.start({}, [ANSWER]);
   harness.fleet.applyConfiguration(configuration({}, [], 2));
   t.is((await call(harness, 'key-1')).status, 401);
@@ -128,43 +135,43 @@
   }
 }
 
-test('a request counts by its tokens, and one that names none by what the operator says', async (t) => {
+test('a request is charged by its tokens, and one without a token count by the configured default', async (t) => {
   await withQuota([ANSWER], async (harness, asked) => {
     t.is((await call(harness, 'key-1', { tokens: '1540' })).status, 200);
     t.is((await call(harness, 'key-1')).status, 200);
     t.deepEqual(asked, [1540, 200]);
-    t.deepEqual(harness.givenBack, []);
+    t.deepEqual(harness.refundedUnits, []);
   });
 });
 
-test('a request beyond its tenant quota is answered 429 with the time to come back, and reaches no backend', async (t) => {
+test('a request beyond its tenant quota is answered with 429 and a Retry-After, and reaches no backend', async (t) => {
   await withQuota([ANSWER], async (harness) => {
     harness.admit = () => Promise.resolve({ kind: 'refused', retryAfterMs: 700 });
     const seen = await call(harness, 'key-1');
     t.is(seen.status, 429);
     t.is(seen.headers['retry-after'], '0.700');
     t.is(harness.sends, 0);
-    t.deepEqual(harness.givenBack, []);
+    t.deepEqual(harness.refundedUnits, []);
   });
 });
 
-test('units of a request that no backend ran are given back, once', async (t) => {
+test('units of a request that no backend ran are given back exactly once', async (t) => {
   const refuses: RawAnswer = (socket) =>
     socket.write('HTTP/1.1 503 Service Unavailable\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n');
   await withQuota([refuses], async (harness) => {
     t.is((await call(harness, 'key-1')).status, 503);
-    t.deepEqual(harness.givenBack, [200]);
+    t.deepEqual(harness.refundedUnits, [200]);
   });
 });
 
 test('units of a request that may have run are not given back', async (t) => {
   await withQuota([(socket) => socket.end()], async (harness) => {
     t.is((await call(harness, 'key-1')).status, 502);
-    t.deepEqual(harness.givenBack, []);
+    t.deepEqual(harness.refundedUnits, []);
   });
 });
 
-test('a burst is widened by half of what operators tolerate in a window', (t) => {
+test('the burst is widened by half of the overage that operators tolerate in a window', (t) => {
   const rule = { ratePerSecond: 100, burst: 200 };
   t.deepEqual(widened(rule, undefined), rule);
   const tolerance = { windowSeconds: 8, overage: 0.25, slack: 50 };
