--- a/packages/gateway/src/backends/backend-availability.ts
+++ b/packages/gateway/src/backends/backend-availability.ts
@@ -14,7 +14,7 @@
 }
 
 /**
- * Retry-After of a request that another node may serve at once, in milliseconds: about the time needed to
+ * Retry-After of a request that another node may serve at once, in milliseconds: no longer than it takes to
  * connect to one.
  */
 export const RETRY_ELSEWHERE_MS = 20;
--- a/packages/gateway/src/backends/least-loaded-picker.ts
+++ b/packages/gateway/src/backends/least-loaded-picker.ts
@@ -56,7 +56,7 @@
     const load = this.#loadOf(backend.id);
     load.running += 1;
     const startedMs = this.#clock.now();
-    const finish = (outcome: UseOutcome): void => this.#finished(load, startedMs, outcome);
+    const finish = (outcome: UseOutcome): void => this.#recordOutcome(load, startedMs, outcome);
     return { kind: 'picked', backend, how: 'least-loaded', isChargedToRateLimit, started: noop, finish };
   }
 
@@ -85,7 +85,7 @@
     return (work + 0.5) * Math.max(load.latencyMs, 1);
   }
 
-  #finished(load: BackendLoad, startedMs: number, outcome: UseOutcome): void {
+  #recordOutcome(load: BackendLoad, startedMs: number, outcome: UseOutcome): void {
     const nowMs = this.#clock.now();
     load.running -= 1;
     if (outcome === 'served') {
--- a/packages/gateway/src/backends/slot-picker.ts
+++ b/packages/gateway/src/backends/slot-picker.ts
@@ -18,8 +18,8 @@
 /** After serving an adapter, an engine is assumed to keep it loaded for this long. */
 const RECENTLY_SERVED_MS = 4000;
 /**
- * Retry-After while no leader is known: a new leader takes over half a second after the loss of the last one
- * was detected.
+ * Retry-After while no leader is known, in milliseconds: the next leader starts half a second after the loss
+ * of the last one was detected.
  */
 const NO_LEADER_RETRY_MS = 600;
 
--- a/packages/gateway/src/client-server.ts
+++ b/packages/gateway/src/client-server.ts
@@ -28,9 +28,9 @@
 }
 
 /**
- * The HTTP server that clients connect to. After `stopAccepting`, each connection is closed as soon as the
- * response in progress on it has been written: a client that was promised a kept connection sends its next
- * request at once.
+ * The HTTP server that clients connect to. After `stopAccepting`, each connection is closed at the moment
+ * when the response in progress on it has been written: a client whose connection was kept alive would send
+ * its next request on it at once.
  */
 export class ClientServer {
   readonly #server: Server;
--- a/packages/gateway/src/request/attempt-outcomes.ts
+++ b/packages/gateway/src/request/attempt-outcomes.ts
@@ -42,7 +42,7 @@
 }
 
 /** Short description for log lines and responses. */
-export function detailOf(outcome: AttemptOutcome): string {
+export function describeOutcome(outcome: AttemptOutcome): string {
   switch (outcome.kind) {
     case 'not-run':
       return outcome.reason;
--- a/packages/gateway/src/request/backend-attempt.ts
+++ b/packages/gateway/src/request/backend-attempt.ts
@@ -8,10 +8,11 @@
 
 /**
  * How an attempt to get a response from a backend ended:
- * `complete`: the whole response was forwarded to the client; `failure`: the backend answered with an error
- * status, and the response has not been forwarded; `not-run`: the backend has not run the request and never
- * will; `broken`: the request may have run, and its response is incomplete or invalid; `cancelled`: the
- * gateway gave the attempt up.
+ * - `complete`: the whole response was forwarded to the client
+ * - `failure`: the backend answered with an error status, and the response has not been forwarded
+ * - `not-run`: the backend has not run the request and never will
+ * - `broken`: the request may have run, and its response is incomplete or invalid
+ * - `cancelled`: the gateway gave the attempt up
  */
 export type AttemptOutcome =
   | { readonly kind: 'complete'; readonly status: number }
--- a/packages/gateway/src/request/exchange.ts
+++ b/packages/gateway/src/request/exchange.ts
@@ -9,7 +9,7 @@
 import type { RetryBudget } from '../backends/retry-budget.js';
 import type { GatewayMetrics } from '../gateway-metrics.js';
 import { ResponseSink } from './response-sink.js';
-import { detailOf, mayReuseBackend, useOutcomeOf, wasWritten } from './attempt-outcomes.js';
+import { describeOutcome, mayReuseBackend, useOutcomeOf, wasWritten } from './attempt-outcomes.js';
 import {
   BackendAttempt,
   type AttemptOutcome,
@@ -315,8 +315,9 @@
     this.#attempt = attempt;
     const outcome = await attempt.run();
     this.#attempt = undefined;
-    const isWhole = outcome.kind === 'complete' || outcome.kind === 'failure' || outcome.kind === 'not-run';
-    connections.release(backend.id, connection, isWhole);
+    const isReusable =
+      outcome.kind === 'complete' || outcome.kind === 'failure' || outcome.kind === 'not-run';
+    connections.release(backend.id, connection, isReusable);
     this.#lastEventId = attempt.lastEventId;
     if (outcome.kind !== 'not-run') {
       this.#mayHaveRun ||= attempt.sent;
@@ -347,7 +348,7 @@
   #endIfFinal(outcome: AttemptOutcome, route: HttpRoute): boolean {
     switch (outcome.kind) {
       case 'complete':
-        this.#finished('complete', outcome.status);
+        this.#finish('complete', outcome.status);
         return true;
       case 'cancelled':
         return true;
@@ -368,7 +369,7 @@
     }
     this.#sink.start(outcome.status, outcome.headers, outcome.body.length);
     this.#sink.end(outcome.body);
-    this.#finished('backend-failure', outcome.status);
+    this.#finish('backend-failure', outcome.status);
   }
 
   /**
@@ -392,7 +393,7 @@
     this.#context.metrics.retries.inc({ service: service.name });
     this.#context.telemetry.event('info', 'request.retried', this.#facts.attemptId ?? '', {
       after: outcome.kind,
-      detail: detailOf(outcome),
+      detail: describeOutcome(outcome),
       backend: this.#backendId,
       ageMs: Math.round(this.#ageMs()),
     });
@@ -400,10 +401,10 @@
   }
 
   #endWithoutRetry(outcome: AttemptOutcome): void {
-    if (this.#sink.started) this.#abortResponse(detailOf(outcome));
+    if (this.#sink.started) this.#abortResponse(describeOutcome(outcome));
     else if (outcome.kind === 'failure') this.#forwardFailure(outcome);
-    else if (this.#mayHaveRun) this.#respond({ kind: 'outcome-unknown', detail: detailOf(outcome) });
-    else this.#refuse(detailOf(outcome), RETRY_AFTER_REFUSAL_MS);
+    else if (this.#mayHaveRun) this.#respond({ kind: 'outcome-unknown', detail: describeOutcome(outcome) });
+    else this.#refuse(describeOutcome(outcome), RETRY_AFTER_REFUSAL_MS);
   }
 
   #refuse(reason: string, retryAfterMs: number | undefined): void {
@@ -414,10 +415,10 @@
    * Ends the request. The response says that it has not run, if that is certain, and that the outcome is
    * unknown otherwise.
    */
-  #refuseWith(answer: GatewayResponse, reason: string): void {
+  #refuseWith(response: GatewayResponse, reason: string): void {
     if (this.#sink.started) this.#abortResponse(reason);
     else if (this.#mayHaveRun) this.#respond({ kind: 'outcome-unknown', detail: reason });
-    else this.#respond(answer);
+    else this.#respond(response);
   }
 
   /** Ends the request after an internal error, with a response if none has started. */
@@ -439,7 +440,7 @@
 
   #onClientLeft(): void {
     if (this.#ended) return;
-    this.#finished('client-left', 0);
+    this.#finish('client-left', 0);
     this.#cancelAttempt();
   }
 
@@ -450,19 +451,19 @@
 
   #abortResponse(detail: string): void {
     this.#sink.abort();
-    this.#finished(`broken-off: ${detail}`, 0);
+    this.#finish(`broken-off: ${detail}`, 0);
   }
 
-  #respond(answer: GatewayResponse): void {
+  #respond(response: GatewayResponse): void {
     if (this.#ended) return;
-    const status = statusOf(answer);
-    const headers = this.#context.dialect.refusalHeaders(retryAfterOf(answer));
-    this.#sink.sendText(status, headers, `${answer.kind}\n`);
-    const detail = 'reason' in answer ? answer.reason : 'detail' in answer ? answer.detail : '';
-    this.#finished(detail === '' ? answer.kind : `${answer.kind}: ${detail}`, status);
+    const status = statusOf(response);
+    const headers = this.#context.dialect.refusalHeaders(retryAfterOf(response));
+    this.#sink.sendText(status, headers, `${response.kind}\n`);
+    const detail = 'reason' in response ? response.reason : 'detail' in response ? response.detail : '';
+    this.#finish(detail === '' ? response.kind : `${response.kind}: ${detail}`, status);
   }
 
-  #finished(outcome: string, status: number): void {
+  #finish(outcome: string, status: number): void {
     if (this.#ended) return;
     this.#ended = true;
     this.#refundUnlessRun();
--- a/packages/gateway/src/request/gateway-response.ts
+++ b/packages/gateway/src/request/gateway-response.ts
@@ -12,8 +12,8 @@
   | { readonly kind: 'timed-out'; readonly mayHaveRun: boolean };
 
 /** HTTP status of a response. 429 and 503 promise that the request has not run and never will. */
-export function statusOf(answer: GatewayResponse): number {
-  switch (answer.kind) {
+export function statusOf(response: GatewayResponse): number {
+  switch (response.kind) {
     case 'no-route':
       return 404;
     case 'unauthorized':
@@ -30,14 +30,14 @@
     case 'outcome-unknown':
       return 502;
     case 'timed-out':
-      return answer.mayHaveRun ? 504 : 503;
+      return response.mayHaveRun ? 504 : 503;
   }
 }
 
 /** Milliseconds after which the client may retry, if a retry is useful. */
-export function retryAfterOf(answer: GatewayResponse): number | undefined {
-  if (answer.kind === 'not-run' || answer.kind === 'over-quota') return answer.retryAfterMs;
-  return answer.kind === 'not-ready' ? NOT_READY_RETRY_MS : undefined;
+export function retryAfterOf(response: GatewayResponse): number | undefined {
+  if (response.kind === 'not-run' || response.kind === 'over-quota') return response.retryAfterMs;
+  return response.kind === 'not-ready' ? NOT_READY_RETRY_MS : undefined;
 }
 
 const NOT_READY_RETRY_MS = 500;
--- a/packages/gateway/src/request/response-sink.ts
+++ b/packages/gateway/src/request/response-sink.ts
@@ -30,10 +30,10 @@
    */
   start(status: number, headers: AnswerHeaders, bodyLength: number | undefined): void {
     const response = this.#response;
-    const named = connectionNames(joinedValue(headers['connection']));
+    const connectionOptions = connectionNames(joinedValue(headers['connection']));
     for (const name in headers) {
       const value = headers[name];
-      if (value !== undefined && passesOn(name, named)) response.setHeader(name, value);
+      if (value !== undefined && passesOn(name, connectionOptions)) response.setHeader(name, value);
     }
     if (bodyLength !== undefined) response.setHeader('content-length', bodyLength);
     this.#writeHead(status);
--- a/packages/gateway/test/leaving-backends.test.ts
+++ b/packages/gateway/test/leaving-backends.test.ts
@@ -60,7 +60,7 @@
   t.is(fleet.own.backend('z')?.state, 'ready');
 });
 
-test('a departure is known in time although half of the readers have silently lost the store', async (t) => {
+test('a departure is known in time although half of the readers have silently lost their connection to the store', async (t) => {
   const delaysMs: number[] = [];
   // Sweeps the time of the disconnect within the followers' polling period, and which readers are
   // disconnected.
--- a/packages/gateway/test/running-node.ts
+++ b/packages/gateway/test/running-node.ts
@@ -111,7 +111,7 @@
 
 async function startGateway(
   fleet: FleetState,
-  own: NodeSettings,
+  nodeSettings: NodeSettings,
   clock: Clock = new SystemClock(),
   keyLease: KeyLease = NO_KEY_LEASE,
 ): Promise<Omit<RunningNode, 'attempts'>> {
@@ -119,12 +119,12 @@
   const port = await freePort();
   const node = await GatewayNode.start({
     settings: {
-      nodeId: own.nodeId,
+      nodeId: nodeSettings.nodeId,
       zone: 'a',
       region: 'r',
       ip: LOOPBACK,
       frontPort: port,
-      peerPort: own.peerPort,
+      peerPort: nodeSettings.peerPort,
       peerKey: 'k',
       capacity: 1,
       retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 50 },
@@ -135,15 +135,15 @@
       memoryBytes: 256 * 1024 * 1024,
       keyLease,
       quotaTolerance: undefined,
-      stopGraceMs: own.graceMs,
+      stopGraceMs: nodeSettings.graceMs,
       firstStart: true,
     },
-    seeds: () => own.seeds,
+    seeds: () => nodeSettings.seeds,
     clock,
     telemetry: new Telemetry({
-      processName: own.nodeId,
+      processName: nodeSettings.nodeId,
       clock,
-      logger: new EventLogger(own.nodeId, 'info', (line) => lines.push(line)),
+      logger: new EventLogger(nodeSettings.nodeId, 'info', (line) => lines.push(line)),
     }),
     dialect,
     control: {
