--- a/packages/gateway/src/backends/backend-notices.ts
+++ b/packages/gateway/src/backends/backend-notices.ts
@@ -41,10 +41,11 @@
   }
 
   /**
-   * Called when the headers of a response from this backend have arrived.
-   * @param isChargedToRateLimit whether the request was charged to the backend's rate limit when it was sent
+   * Called with each notice of a backend, from the headers of a response or from the engine control.
+   * @param isChargedToRateLimit whether the notice came with the response to a request that was charged to
+   * the backend's rate limit
    */
-  onResponseHead(backendId: string, notice: BackendNotice, isChargedToRateLimit: boolean): void {
+  handleNotice(backendId: string, notice: BackendNotice, isChargedToRateLimit: boolean): void {
     this.#handleRateLimit(backendId, notice.rateLimit, isChargedToRateLimit);
     const hasRateLimit = typeof notice.rateLimit === 'number';
     if (!notice.isLeaving && notice.backoffMs === undefined && !hasRateLimit) return;
--- a/packages/gateway/src/gateway-node.ts
+++ b/packages/gateway/src/gateway-node.ts
@@ -170,7 +170,7 @@
       telemetry,
       metrics: this.metrics,
     });
-    options.control.onNotice((id, notice) => notices.onResponseHead(id, notice, false));
+    options.control.onNotice((id, notice) => notices.handleNotice(id, notice, false));
     this.#slots = new SlotService({
       clock,
       fleetClock,
--- a/packages/gateway/src/request/exchange.ts
+++ b/packages/gateway/src/request/exchange.ts
@@ -306,7 +306,7 @@
         inactivityLimit: this.#inactivityLimit(route, backend.id),
         reasonNotToWrite: () => this.#reasonNotToWrite(route, backend.id),
         onNotice: (notice) =>
-          this.#context.notices.onResponseHead(backend.id, notice, picked.isChargedToRateLimit),
+          this.#context.notices.handleNotice(backend.id, notice, picked.isChargedToRateLimit),
         onDataReceived: () => connections.recordReceived(backend.id, clock.now()),
         onStarted: picked.started,
       },
