--- a/packages/gateway/src/request/final-answer.ts
+++ b/packages/gateway/src/request/gateway-response.ts
@@ -1,8 +1,8 @@
-/** Answers that the gateway gives of its own, with a code that is stable and listed in docs/reference/errors.md. */
-export type FinalAnswer =
+/** Responses of the gateway itself. Their codes are stable and listed in docs/reference/errors.md. */
+export type GatewayResponse =
   | { readonly kind: 'no-route' }
   | { readonly kind: 'unauthorized'; readonly detail: string }
-  /** The caller's group has used what it may over all nodes; the request has not run. */
+  /** The caller's tenant has used up its quota, which counts across all nodes; the request has not run. */
   | { readonly kind: 'over-quota'; readonly retryAfterMs: number }
   | { readonly kind: 'bad-request'; readonly detail: string }
   | { readonly kind: 'body-too-large' }
@@ -11,9 +11,9 @@
   | { readonly kind: 'outcome-unknown'; readonly detail: string }
   | { readonly kind: 'timed-out'; readonly mayHaveRun: boolean };
 
-/** Status of an answer. 429 and 503 promise that the request has not run and never will. */
-export function statusOf(answer: FinalAnswer): number {
-  switch (answer.kind) {
+/** HTTP status of a response. 429 and 503 promise that the request has not run and never will. */
+export function statusOf(response: GatewayResponse): number {
+  switch (response.kind) {
     case 'no-route':
       return 404;
     case 'unauthorized':
@@ -30,14 +30,14 @@
     case 'outcome-unknown':
       return 502;
     case 'timed-out':
-      return answer.mayHaveRun ? 504 : 503;
+      return response.mayHaveRun ? 504 : 503;
   }
 }
 
-/** Milliseconds after which the client may come back, where that makes sense. */
-export function retryAfterOf(answer: FinalAnswer): number | undefined {
-  if (answer.kind === 'not-run' || answer.kind === 'over-quota') return answer.retryAfterMs;
-  return answer.kind === 'not-ready' ? NOT_READY_RETRY_MS : undefined;
+/** Milliseconds after which the client may retry, if a retry is useful. */
+export function retryAfterOf(response: GatewayResponse): number | undefined {
+  if (response.kind === 'not-run' || response.kind === 'over-quota') return response.retryAfterMs;
+  return response.kind === 'not-ready' ? NOT_READY_RETRY_MS : undefined;
 }
 
 const NOT_READY_RETRY_MS = 500;
