--- a/packages/gateway/src/cluster/cluster.ts
+++ b/packages/gateway/src/cluster/cluster.ts
@@ -11,7 +11,7 @@
 import { PeerSight, type LeadershipPeers, type PoolClaim } from '@canvasridge/slots';
 import type { Telemetry } from '@canvasridge/telemetry';
 import type * as z from 'zod';
-import type { DirectorySight } from './directory.js';
+import type { DirectoryCluster } from './directory.js';
 import {
   PeerRecordReader,
   peerRecords,
@@ -29,22 +29,22 @@
   /** `IP:port` for callers. */
   readonly frontAddress: string;
   readonly processToken: string;
-  /** Processor time that this node may use, in cores of the usual speed. */
+  /** Processor time available to this node, in cores of the usual speed. */
   readonly capacity: number;
   readonly transport: DatagramTransport;
   readonly clock: Clock;
   readonly random: Random;
   readonly telemetry: Telemetry;
-  /** Peer addresses from the settings; they may be stale. */
+  /** Peer addresses from the settings; they may be out of date. */
   readonly seeds: () => readonly string[];
   readonly configurationVersion: () => number;
-  /** A peer shows a configuration version. */
+  /** A peer has announced a configuration version. */
   readonly onPeerVersion: (peerAddress: string, version: number, zone: string) => void;
   /** A peer has published requests that are kept from backends. */
   readonly onQuarantine: () => void;
 }
 
-/** Quicker than the defaults for large fleets: a dead leader holds up loads. */
+/** Faster than the defaults, which suit large fleets: a dead leader holds up loads. */
 const TIMING: MembershipTiming = {
   ...DEFAULT_MEMBERSHIP_TIMING,
   probePeriodMs: 400,
@@ -55,51 +55,54 @@
   synchronisationPeriodMs: 4000,
 };
 
-/** A node that never met another acts alone only after this time. */
+/** A node that never met another one acts alone only after this time. */
 const ALONE_AFTER_MS = 12_000;
-const REMEMBERED_ADDRESSES = 512;
+const MAX_REMEMBERED_ADDRESSES = 512;
 const SECOND_MS = 1000;
-/** Begins the token of a process that is not the first on its machine. */
+/** Prefix of the token of a process that is not the first one on its machine. */
 export const RESTARTED_PREFIX = 'restarted-';
 const CLAIM_PREFIX = 'lead/';
 const BUSY_KEY = 'busy';
 const QUARANTINE_KEY = 'quarantine';
-/** The count of nodes is the largest seen within this time. */
+/** The node count is the largest seen within this time. */
 const NODE_COUNT_WINDOW_MS = 30_000;
 
-/** The members at one moment, sorted by what is asked of them; kept until a member changes, as it is asked for often. */
+/**
+ * The members at one moment, grouped as callers need them; cached until a member changes, as it is read
+ * often.
+ */
 interface MemberView {
-  /** Lists of the membership that this was made from. */
+  /** The membership's lists from which this view was built. */
   readonly known: readonly Member[];
   readonly present: readonly Member[];
   readonly serving: readonly Member[];
-  /** Names of members in sight, without this node. */
+  /** Names of visible members, without this node. */
   readonly visible: readonly string[];
-  /** Names of members that announced that they leave or have left. */
+  /** Names of members that announced that they are leaving or have left. */
   readonly departed: readonly string[];
   /** By the pool's name: see {@link Cluster.candidates}. */
   readonly candidates: Map<string, readonly string[]>;
 }
 
-/** What a node publishes of requests under which backends broke off, by their fingerprints. */
+/** What a node publishes about requests during which backends failed, by their fingerprints. */
 export interface PublishedQuarantine {
   readonly quarantined: readonly QuarantinedRequest[];
-  /** Those that are quarantined if another backend breaks off before one has run them to an end. */
+  /** Requests that are quarantined if another backend fails before one has completed them. */
   readonly suspects: readonly string[];
 }
 
 /** The other nodes, as this one sees them. */
-export class Cluster implements LeadershipPeers, DirectorySight {
+export class Cluster implements LeadershipPeers, DirectoryCluster {
   readonly #options: ClusterOptions;
   readonly #membership: Membership;
   readonly #records: PeerRecordReader;
   readonly #sight: PeerSight;
   readonly #addresses = new Set<string>();
-  /** Notified when a member or what one published changes. */
+  /** Notified when a member, or a record that a member published, changes. */
   readonly changed = new Notifier();
   #changes = 0;
   #view: MemberView | undefined;
-  #acquaintedAtMs: number | undefined;
+  #firstPeerAtMs: number | undefined;
   #nodeCount = 1;
   #nodeCountAtMs = 0;
   #leaving = false;
@@ -127,7 +130,7 @@
       events: {
         onMember: (member) => this.#remember(member),
         onRecord: ({ key }) => {
-          this.#noteChange();
+          this.#recordChange();
           if (key === QUARANTINE_KEY) options.onQuarantine();
         },
         onRevision: (member, revision) => options.onPeerVersion(member.peerUrl, revision, member.zone),
@@ -146,7 +149,7 @@
     this.#membership.start();
   }
 
-  /** Looks at the members anew; to be called a few times a second. */
+  /** Re-evaluates the members; call it a few times a second. */
   update(): void {
     const nowMs = this.#options.clock.now();
     const { present, visible, departed } = this.#members();
@@ -158,17 +161,17 @@
     }
   }
 
-  /** A peer gave no sign when it should have: it is probed now, not in its turn. */
+  /** Probes a peer now instead of in its turn, because it did not respond when it should have. */
   checkPeer(peerAddress: string): void {
     this.#membership.probeNow(peerAddress);
   }
 
-  /** A peer's machine refused a connection, so no process listens there. */
+  /** Reports that a peer's machine refused a connection, so no process listens there. */
   peerRefused(peerAddress: string): void {
     this.#membership.reportRefused(peerAddress);
   }
 
-  /** Tells the others that this node takes no new work. */
+  /** Announces to the others that this node takes no new work. */
   drain(): void {
     this.#leaving = true;
     this.#membership.drain();
@@ -182,27 +185,27 @@
     this.#membership.stop();
   }
 
-  /** Changes of members and of what they published, so far. */
+  /** Number of changes so far of members and of their published records. */
   get changes(): number {
     return this.#changes;
   }
 
-  #noteChange(): void {
+  #recordChange(): void {
     this.#changes += 1;
     this.changed.notify();
   }
 
-  /** How long this node has known any other, in milliseconds; 0 while it knows none. */
-  get acquaintedMs(): number {
-    return this.#acquaintedAtMs === undefined ? 0 : this.#options.clock.now() - this.#acquaintedAtMs;
+  /** Time since this node first met another one, in milliseconds; 0 if it has met none. */
+  get knownPeersMs(): number {
+    return this.#firstPeerAtMs === undefined ? 0 : this.#options.clock.now() - this.#firstPeerAtMs;
   }
 
-  /** Nodes among which shared budgets are divided. */
+  /** Number of nodes among which shared budgets are divided. */
   get nodeCount(): number {
     return this.#nodeCount;
   }
 
-  /** Members believed to serve, this node included unless it is stopping. */
+  /** Members considered to be serving, including this node unless it is stopping. */
   serving(): readonly Member[] {
     return this.#members().serving;
   }
@@ -215,13 +218,13 @@
     return this.#membership.get(id)?.zone;
   }
 
-  /** The process that runs as a member now, as far as it is known. */
+  /** The process that currently runs as a member, as far as it is known. */
   processOf(id: string): { readonly token: string; readonly state: MemberState } | undefined {
     const member = this.#membership.get(id);
     return member === undefined ? undefined : { token: member.processToken, state: member.state };
   }
 
-  /** Peer addresses of members that answer. */
+  /** Peer addresses of members that respond. */
   peerAddresses(): string[] {
     return this.serving()
       .filter((member) => member.id !== this.selfId)
@@ -229,14 +232,15 @@
   }
 
   /**
-   * Nodes that can carry most come first, as a leader's work grows with the fleet. Among equal ones those whose process
-   * was restarted do: in a rolling restart they are done. The same on all nodes.
+   * Nodes with the highest capacity come first, as a leader's work grows with the size of the fleet. Among
+   * equals those whose process was restarted come first: during a rolling restart they are not restarted
+   * again. The order is the same on all nodes.
    */
   candidates(pool: string): readonly string[] {
     const { candidates, serving } = this.#members();
     const known = candidates.get(pool);
     if (known !== undefined) return known;
-    const ranked = rankedToLead(pool, serving);
+    const ranked = rankCandidates(pool, serving);
     candidates.set(pool, ranked);
     return ranked;
   }
@@ -251,7 +255,7 @@
     return claims;
   }
 
-  /** Names of members that have more to do than they can bear. */
+  /** Names of members that report being overloaded. */
   busy(): ReadonlySet<string> {
     return new Set([...this.#published(peerRecords.busy, BUSY_KEY)].map(({ member }) => member.id));
   }
@@ -271,7 +275,10 @@
     this.#membership.pushNow();
   }
 
-  /** What others published of requests that are kept from backends; it holds also when its node has ended or started again. */
+  /**
+   * What other nodes published about requests that are kept from backends; it stays valid when its node has
+   * stopped or restarted.
+   */
   *quarantines(): Iterable<PublishedQuarantine> {
     for (const record of this.#membership.records()) {
       if (record.key !== QUARANTINE_KEY || record.owner === this.selfId) continue;
@@ -286,7 +293,10 @@
     }
   }
 
-  /** What processes that run now published under a key; what one before a restart did says nothing of them. */
+  /**
+   * Records that currently running processes published under a key; those of a process before a restart are
+   * out of date.
+   */
   *#published<T extends { readonly token: string }>(
     schema: z.ZodType<T>,
     key: string,
@@ -310,12 +320,15 @@
     return !this.#leaving && this.#sight.seesMost();
   }
 
-  /** Members in sight without this node, and those that went out of sight of late, for log lines. */
-  get sightFigures(): { readonly visible: number; readonly lost: number } {
+  /**
+   * Numbers of visible members, without this node, and of members that recently became invisible, for log
+   * lines.
+   */
+  get visibilityCounts(): { readonly visible: number; readonly lost: number } {
     return { visible: this.#sight.visible.size, lost: this.#sight.lost.length };
   }
 
-  /** Whether this node may be cut off without knowing: see {@link PeerSight.isRemainder}. */
+  /** Whether this node may be cut off without knowing it: see {@link PeerSight.isRemainder}. */
   get isRemainder(): boolean {
     return this.#sight.isRemainder;
   }
@@ -325,27 +338,27 @@
     return this.#sight.aloneMs;
   }
 
-  /** Members that went out of sight of late without a word. */
+  /** Members that recently became invisible without announcing that they leave. */
   lostMembers(): readonly string[] {
     return this.#sight.lost;
   }
 
-  /** Members that were in sight of late, also those that are not any more; without this node. */
+  /** Members that were visible recently, including those that no longer are, without this node. */
   recentMembers(): readonly string[] {
     return [...this.#sight.visible, ...this.#sight.lost];
   }
 
-  /** Asks members whether they are in reach; gives those that answered in time. */
+  /** Asks members whether they are reachable; returns those that answered in time. */
   inReach(ids: readonly string[], timeoutMs: number): Promise<string[]> {
     return this.#membership.inReach(ids, timeoutMs);
   }
 
-  /** Learns from members what this node missed while it was out of reach. */
+  /** Learns from members what this node missed while it was unreachable. */
   catchUpWith(ids: readonly string[]): void {
     this.#membership.compareWith(ids);
   }
 
-  /** Whether every member that was seen of late is in sight. */
+  /** Whether every member that was seen recently is visible. */
   seesAll(): boolean {
     return !this.#leaving && this.#sight.seesAll();
   }
@@ -369,16 +382,19 @@
     return { known, present, serving, visible, departed, candidates: new Map() };
   }
 
-  /** Every address ever heard of stays a place to ask, since seeds alone may not lead back after a partition. */
+  /**
+   * Keeps every address ever seen as one to contact, since the seeds alone may not lead back to the fleet
+   * after a partition.
+   */
   #remember(member: Member): void {
-    this.#acquaintedAtMs ??= this.#options.clock.now();
-    this.#noteChange();
+    this.#firstPeerAtMs ??= this.#options.clock.now();
+    this.#recordChange();
     if (member.state === 'left') this.#addresses.delete(member.gossip);
-    else if (this.#addresses.size < REMEMBERED_ADDRESSES) this.#addresses.add(member.gossip);
+    else if (this.#addresses.size < MAX_REMEMBERED_ADDRESSES) this.#addresses.add(member.gossip);
   }
 }
 
-function rankedToLead(pool: string, serving: readonly Member[]): string[] {
+function rankCandidates(pool: string, serving: readonly Member[]): string[] {
   return serving
     .map(({ id, processToken, capacity }) => ({
       id,
--- a/packages/gateway/src/cluster/configuration-fetcher.ts
+++ b/packages/gateway/src/cluster/configuration-fetcher.ts
@@ -11,24 +11,27 @@
   readonly telemetry: Telemetry;
 }
 
-/** First bound on a part's way: a peer lets four parts wait at the most, 0.1 s of the slowest link. */
+/** Initial timeout for a part: a peer queues at most four parts for this node, 0.1 s of the slowest link. */
 const FIRST_TIMEOUT_MS = 300;
-/** A part is waited for so many times as long as the slowest one of late took. */
+/** A part is awaited for this many times as long as the slowest recent one took. */
 const TIMEOUT_FACTOR = 4;
-const LONGEST_TIMEOUT_MS = 2000;
-/** Before a peer is asked again whose link is full. */
+const MAX_TIMEOUT_MS = 2000;
+/** Pause before a peer whose link is full is asked again. */
 const BUSY_PAUSE_MS = 60;
-/** A peer of another zone is asked if none of this zone has given anything for so long: bytes between zones are dear. */
-const FAR_AFTER_MS = 400;
+/**
+ * A peer of another zone is asked if no peer of this zone has delivered anything for this long: traffic
+ * between zones is expensive.
+ */
+const OTHER_ZONE_AFTER_MS = 400;
 
-/** A peer that showed a newer configuration. */
+/** A peer that announced a newer configuration. */
 interface Source {
   readonly address: string;
-  readonly isNear: boolean;
+  readonly isSameZone: boolean;
 }
 
-/** What has come so far of one packed configuration. */
-interface Partial {
+/** The parts of one packed configuration that have arrived so far. */
+interface PartialConfiguration {
   readonly version: number;
   readonly digest: string;
   readonly totalBytes: number;
@@ -37,15 +40,15 @@
 }
 
 /**
- * Brings a newer configuration here from the peers that show one. One part is asked for at a time, from one peer; where a
- * peer says nothing the next one is asked for the rest, so that nothing is sent twice that has arrived. How long a part
- * is waited for follows from how long parts take.
+ * Fetches a newer configuration from the peers that have announced one. One part is requested at a time, from
+ * one peer; if a peer does not answer, the next one is asked for the rest, so that nothing that has arrived
+ * is sent again. The timeout for a part follows the time that parts take.
  */
 export class ConfigurationFetcher {
   readonly #options: ConfigurationFetcherOptions;
   #sources: Source[] = [];
   #wanted = 0;
-  #partial: Partial | undefined;
+  #partial: PartialConfiguration | undefined;
   #running = false;
   #stopped = false;
   #timeoutMs = FIRST_TIMEOUT_MS;
@@ -60,15 +63,15 @@
   }
 
   /**
-   * A peer holds this version.
-   * @param isNear it is in this node's zone
+   * Records that a peer holds this version.
+   * @param isSameZone whether the peer is in this node's zone
    */
-  offered(version: number, address: string, isNear: boolean): void {
+  offered(version: number, address: string, isSameZone: boolean): void {
     const { clock, fleet } = this.#options;
     if (version <= fleet.configurationVersion || this.#stopped) return;
     this.#wanted = Math.max(this.#wanted, version);
     const others = this.#sources.filter((source) => source.address !== address);
-    this.#sources = [...others, { address, isNear }];
+    this.#sources = [...others, { address, isSameZone }];
     if (this.#running) return;
     this.#running = true;
     this.#progressMs = clock.now();
@@ -102,12 +105,15 @@
     });
   }
 
-  /** The first near peer; a far one only after a while without progress. Undefined while there is none to be asked. */
+  /**
+   * The first peer of this zone; one of another zone only after some time without progress. Undefined while
+   * there is none to ask.
+   */
   #nextSource(): Source | undefined {
-    const near = this.#sources.find(({ isNear }) => isNear);
+    const near = this.#sources.find(({ isSameZone }) => isSameZone);
     if (near !== undefined) return near;
     const idleMs = this.#options.clock.now() - this.#progressMs;
-    return idleMs >= FAR_AFTER_MS || this.#partial !== undefined ? this.#sources[0] : undefined;
+    return idleMs >= OTHER_ZONE_AFTER_MS || this.#partial !== undefined ? this.#sources[0] : undefined;
   }
 
   async #askPart(source: Source): Promise<void> {
@@ -121,20 +127,20 @@
     const call = network.to(source.address).call(PART_METHOD, request, this.#timeoutMs);
     const reply = (await call) as PartReply | undefined;
     if (reply === undefined) {
-      this.#timeoutMs = Math.min(this.#timeoutMs * 2, LONGEST_TIMEOUT_MS);
-      this.#drop(source);
-    } else if (reply.kind === 'none') this.#drop(source);
+      this.#timeoutMs = Math.min(this.#timeoutMs * 2, MAX_TIMEOUT_MS);
+      this.#removeSource(source);
+    } else if (reply.kind === 'none') this.#removeSource(source);
     else if (reply.kind === 'busy') {
       this.#moveToEnd(source);
       await clock.sleep(BUSY_PAUSE_MS);
     } else {
       const tookMs = clock.now() - askedMs;
-      this.#timeoutMs = Math.min(Math.max(tookMs * TIMEOUT_FACTOR, FIRST_TIMEOUT_MS), LONGEST_TIMEOUT_MS);
-      this.#take(reply, source);
+      this.#timeoutMs = Math.min(Math.max(tookMs * TIMEOUT_FACTOR, FIRST_TIMEOUT_MS), MAX_TIMEOUT_MS);
+      this.#addPart(reply, source);
     }
   }
 
-  #take(part: PartReply & { kind: 'part' }, source: Source): void {
+  #addPart(part: PartReply & { kind: 'part' }, source: Source): void {
     this.#progressMs = this.#options.clock.now();
     if (this.#partial?.digest !== part.digest) {
       const { version, digest, totalBytes } = part;
@@ -143,7 +149,7 @@
     const partial = this.#partial;
     const bytes = Buffer.from(part.data, 'base64');
     if (part.offset !== partial.receivedBytes || bytes.length === 0) {
-      this.#drop(source);
+      this.#removeSource(source);
       return;
     }
     partial.chunks.push(bytes);
@@ -151,7 +157,7 @@
     if (partial.receivedBytes >= partial.totalBytes) this.#finish(partial, source);
   }
 
-  #finish(partial: Partial, source: Source): void {
+  #finish(partial: PartialConfiguration, source: Source): void {
     this.#partial = undefined;
     const { fleet } = this.#options;
     const { version, digest, chunks } = partial;
@@ -161,23 +167,23 @@
         fleet.applyConfiguration(configuration);
         return;
       }
-      this.#refuse(source, version, 'digest differs');
+      this.#reject(source, version, 'digest differs');
     } catch (cause) {
-      this.#refuse(source, version, String(cause));
+      this.#reject(source, version, String(cause));
     }
   }
 
-  #refuse(source: Source, version: number, problem: string): void {
+  #reject(source: Source, version: number, problem: string): void {
     this.#options.telemetry.event('error', 'configuration.unreadable', source.address, { version, problem });
-    this.#drop(source);
+    this.#removeSource(source);
   }
 
-  #drop(source: Source): void {
+  #removeSource(source: Source): void {
     this.#sources = this.#sources.filter(({ address }) => address !== source.address);
   }
 
   #moveToEnd(source: Source): void {
-    this.#drop(source);
+    this.#removeSource(source);
     this.#sources = [...this.#sources, source];
   }
 }
--- a/packages/gateway/src/cluster/configuration-parts.ts
+++ b/packages/gateway/src/cluster/configuration-parts.ts
@@ -2,22 +2,22 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import type { FleetState, ServingConfiguration } from '@canvasridge/serving';
 
-/** Asks a peer for one part of the configuration that it holds. */
+/** Requests one part of the configuration that a peer holds. */
 export const PART_METHOD = 'fleet.configuration-part';
 
 /** Params of {@link PART_METHOD}. */
 export interface PartRequest {
-  /** Version that the asking node has in force, 0 for none. */
+  /** Version that the requesting node has in force, 0 for none. */
   readonly above: number;
-  /** Digest of the packed configuration of which parts are here already; absent for the first one. */
+  /** Digest of the packed configuration whose parts have already arrived; absent for the first part. */
   readonly digest?: string;
-  /** Bytes of it that are here. */
+  /** Number of its bytes that have already arrived. */
   readonly offset: number;
 }
 
 /**
- * `part`: some bytes of the packed configuration, base64; `busy`: what was written to the asking node before is still on
- * its way; `none`: the peer holds nothing newer.
+ * `part`: some bytes of the packed configuration, as base64; `busy`: data written to the requesting node
+ * earlier is still in transit; `none`: the peer holds nothing newer.
  */
 export type PartReply =
   | {
@@ -31,21 +31,30 @@
   | { readonly kind: 'busy' }
   | { readonly kind: 'none' };
 
-/** A part passes a link of 7 Mbit/s, the slowest that the users describe, in 25 ms. */
+/** A link of 7 Mbit/s, the slowest that the users describe, transfers a part in 25 ms. */
 const PART_BYTES = 16_384;
 /**
- * So much may wait to be sent to one peer when something large is added: four parts, 0.1 s of the slowest link. Anything
- * more would be made again before the one before has arrived.
+ * Large data is written to a peer only while no more than this waits to be sent to it: four parts, 0.1 s of
+ * the slowest link. With more in the queue, answers would be requested and built again before the previous
+ * one has arrived.
+ */
+export const MAX_WAITING_FOR_PEER_BYTES = 65_536;
+/**
+ * The same limit for all peers together: a thirtieth of a heap of 128 MB, with room for what is being
+ * encoded.
+ */
+export const MAX_WAITING_BYTES = 4 * 1024 * 1024;
+/**
+ * 1,212 routes of 246 bytes with random names compress to 15 KB in 0.8 ms of a core; level 6 takes 2.0 ms for
+ * 3% less.
  */
-export const MOST_WAITING_FOR_PEER_BYTES = 65_536;
-/** The same for all peers together: a thirtieth of a heap of 128 MB, with room for what is being encoded. */
-export const MOST_WAITING_BYTES = 4 * 1024 * 1024;
-/** 1,212 routes of 246 bytes with random names become 15 KB in 0.8 ms of a core; level 6 takes 2.0 ms for 3% less. */
 const PACK_LEVEL = 3;
-/** Larger than any document that the publishing store takes (1 MB), with the product's longer names. */
-const MOST_UNPACKED_BYTES = 16 * 1024 * 1024;
+/**
+ * Larger than any document that the publishing store accepts (1 MB), with the longer field names used here.
+ */
+const MAX_UNPACKED_BYTES = 16 * 1024 * 1024;
 
-/** A configuration as it travels between nodes. */
+/** A configuration in the form in which nodes transfer it. */
 export interface PackedConfiguration {
   readonly version: number;
   readonly digest: string;
@@ -60,12 +69,12 @@
   readonly forAll: number;
 }
 
-/** Whether something large may be written to a peer now. */
+/** Whether large data may be written to a peer now. */
 export function hasRoom({ forPeer, forAll }: WaitingBytes): boolean {
-  return forPeer <= MOST_WAITING_FOR_PEER_BYTES && forAll <= MOST_WAITING_BYTES;
+  return forPeer <= MAX_WAITING_FOR_PEER_BYTES && forAll <= MAX_WAITING_BYTES;
 }
 
-/** Hands the configuration in force out in parts. It is packed once for each version. */
+/** Serves the configuration in force in parts. It is packed once for each version. */
 export class ConfigurationParts {
   readonly #fleet: FleetState;
   #packed: PackedConfiguration | undefined;
@@ -91,10 +100,10 @@
   return { version: configuration.version, digest: digestOf(bytes), bytes };
 }
 
-/** Undefined if the bytes are not those of the digest. */
+/** Undefined if the bytes do not match the digest. */
 export function unpack({ digest, bytes }: PackedConfiguration): ServingConfiguration | undefined {
   if (digestOf(bytes) !== digest) return undefined;
-  const text = inflateRawSync(bytes, { maxOutputLength: MOST_UNPACKED_BYTES }).toString('utf8');
+  const text = inflateRawSync(bytes, { maxOutputLength: MAX_UNPACKED_BYTES }).toString('utf8');
   return JSON.parse(text) as ServingConfiguration;
 }
 
--- a/packages/gateway/src/cluster/fleet-quarantine.ts
+++ b/packages/gateway/src/cluster/fleet-quarantine.ts
@@ -10,10 +10,10 @@
 import type { Cluster } from './cluster.js';
 import type { PeerCaller } from './peer-caller.js';
 
-/** Tells a home under which requests backends broke off. */
+/** Reports to a home node the requests during which backends failed. */
 export const INTERRUPTED_METHOD = 'quarantine.interrupted';
 
-/** Tells a home of a request that a backend has run to an end. */
+/** Reports to a home node that a backend has completed a request. */
 export const ENDED_WELL_METHOD = 'quarantine.ended-well';
 
 /** Params of {@link ENDED_WELL_METHOD}. */
@@ -21,7 +21,7 @@
   readonly fingerprint: string;
 }
 
-/** A backend broke off under a request. */
+/** A backend failed while it ran a request. */
 export interface Interruption {
   readonly fingerprint: string;
   readonly backend: string;
@@ -32,79 +32,91 @@
   readonly interruptions: readonly Interruption[];
 }
 
-/** Those of the requests that are kept from backends now; null from a node that does not take itself for a home. */
+/**
+ * The fingerprints of those requests that are quarantined now; null from a node that does not consider itself
+ * a home.
+ */
 export type InterruptedReply = readonly string[] | null;
 
-/** What is seen of the fleet. */
-export type QuarantineSight = Pick<
+/** The part of the cluster that the quarantine uses. */
+export type QuarantineCluster = Pick<
   Cluster,
   'selfId' | 'candidates' | 'peerAddress' | 'processOf' | 'publishQuarantine' | 'quarantines'
 >;
 
-/** An interruption that this node saw, and the processes of homes that know of it. */
-interface OwnInterruption extends Interruption {
+/** An interruption that this node observed, and the processes of home nodes that have received it. */
+interface LocalInterruption extends Interruption {
   readonly atMs: number;
   readonly knownTo: Set<string>;
 }
 
 export interface FleetQuarantineOptions {
   readonly clock: Clock;
-  readonly cluster: QuarantineSight;
+  readonly cluster: QuarantineCluster;
   readonly network: PeerCaller;
   readonly telemetry: Telemetry;
 }
 
 /**
- * Different backends under which a request is interrupted before it is quarantined. Two are not enough: where engines end
- * together, a request that is sent again at once meets a second end by chance, and would be served at its third send.
+ * Number of different backends that must fail during a request before it is quarantined. Two are not enough:
+ * where engines fail together, a request that is retried at once can hit a second failure by chance, and
+ * would be served at its third attempt.
+ */
+const QUARANTINE_THRESHOLD = 3;
+/**
+ * Number of backends from which a request is a suspect: a node that sees it complete reports that. Otherwise
+ * a request that is sent again and again, such as a status query, would sooner or later be running at the
+ * failure of every backend.
+ */
+const SUSPECT_THRESHOLD = 2;
+/** As many as fit into one gossip datagram beside a full list of quarantined requests. */
+const MAX_SUSPECTS = 12;
+/** Nodes that count interruptions: one may fail and another be cut off before the third interruption. */
+const HOME_COUNT = 3;
+const HOMES_RANKING = 'quarantine';
+/** All interruptions of an engine that failed are reported in one message. */
+const BATCH_DELAY_MS = 5;
+/**
+ * A request is not retried before a home has answered or this time has passed. Without the wait, the failure
+ * of the third backend was followed by that of a fourth: the request was already on its way again when the
+ * homes had counted. A home answers within about 10 ms.
  */
-const ENOUGH_BACKENDS = 3;
+const HOME_ANSWER_WAIT_MS = 60;
 /**
- * From so many on a request is suspected: whoever sees it end well says so. One that many send again and again, such as a
- * question for a state, would otherwise be under every backend's end some time.
+ * A reachable home answers in a few milliseconds; one that does not is sent the report again a second later.
  */
-const SUSPECTED_BACKENDS = 2;
-/** As many as fit beside a full list into one gossip datagram. */
-const MOST_SUSPECTS = 12;
-/** Nodes that count: one may end, and one be cut off, before the third interruption. */
-const HOMES = 3;
-const HOMES_POOL = 'quarantine';
-/** All that ran on an engine that ended is told together. */
-const GATHER_MS = 5;
+const REPORT_TIMEOUT_MS = 500;
 /**
- * A request is not sent again before a home has answered, or for so long: without that the third backend's end was followed by
- * a fourth, as the request was on its way again when the homes had counted. A home answers within some 10 ms.
+ * Number of interruptions observed by this node that it keeps and reports to each node that becomes a home:
+ * what ran on two engines that failed. They take about 12 KB, once, when a home changes.
  */
-const VERDICT_MS = 60;
-/** A home in reach answers in a few milliseconds; one that does not is told again a second later. */
-const TELL_TIMEOUT_MS = 500;
+const MAX_LOCAL_INTERRUPTIONS = 192;
 /**
- * Interruptions seen by this node that it tells to each node that becomes a home: what ran on two engines that ended.
- * That takes some 12 KB, once, when a home changes.
+ * Homes publish their list again after this time, so that a node that starts receives ages that are no older
+ * than this.
  */
-const MOST_OWN = 192;
-/** Homes publish their list anew after this time, so that a node that starts gets ages that are not older. */
 const REPUBLISH_MS = 60_000;
-/** Content of a list of no requests, quarantined or suspected. */
-const NOTHING_PUBLISHED = JSON.stringify([[], []]);
+/** Serialised content of an empty list: no requests quarantined or suspected. */
+const EMPTY_CONTENT = JSON.stringify([[], []]);
 
 /**
- * Requests that are kept from backends by all nodes. A request comes again at any node, so the nodes tell a few homes of
- * interruptions; a home that has counted enough publishes the request, and each node that hears of it keeps it for itself,
- * whatever becomes of the home. A node that becomes a home is told by all what they saw of late, and publishes what it knows.
+ * Requests that all nodes keep from backends. A client may retry a request at any node, so the nodes report
+ * interruptions to a few home nodes. A home that has counted enough of them publishes the request, and each
+ * node that receives this enforces it by itself, whatever happens to the home. A node that becomes a home
+ * receives the recent interruptions from all nodes, and publishes what it knows.
  */
 export class FleetQuarantine implements QuarantineGate {
   readonly #options: FleetQuarantineOptions;
-  /** What this node has counted as a home. */
+  /** Interruptions that this node has counted as a home. */
   #ledger: InterruptionLedger;
   readonly #list: QuarantineList;
-  /** Those seen last come last. */
-  #own: OwnInterruption[] = [];
-  /** Resolves when a home has answered what was gathered. */
-  #telling: Promise<void> | undefined;
-  #home = false;
+  /** Oldest first. */
+  #localInterruptions: LocalInterruption[] = [];
+  /** Resolves when a home has answered the current batch. */
+  #reporting: Promise<void> | undefined;
+  #actsAsHome = false;
   #suspects: ReadonlySet<string> = new Set();
-  #published = NOTHING_PUBLISHED;
+  #published = EMPTY_CONTENT;
   #publishedMs = -Infinity;
 
   constructor(options: FleetQuarantineOptions) {
@@ -127,26 +139,28 @@
 
   async interrupted(fingerprint: string, backendId: string): Promise<void> {
     const { clock } = this.#options;
-    this.#beHome(this.#isHome());
-    if (this.#home) this.#count(fingerprint, backendId);
-    this.#own.push({ fingerprint, backend: backendId, atMs: clock.now(), knownTo: new Set() });
-    this.#own = this.#own.slice(-MOST_OWN);
-    this.#telling ??= this.#tellSoon();
-    // What the homes count is counted here as well.
-    if (this.#home) return;
-    await Promise.race([this.#telling, clock.sleep(VERDICT_MS)]);
+    this.#setHome(this.#isHome());
+    if (this.#actsAsHome) this.#count(fingerprint, backendId);
+    this.#localInterruptions.push({ fingerprint, backend: backendId, atMs: clock.now(), knownTo: new Set() });
+    this.#localInterruptions = this.#localInterruptions.slice(-MAX_LOCAL_INTERRUPTIONS);
+    this.#reporting ??= this.#reportBatch();
+    // A home has already counted its own observation, so it need not wait for the other homes.
+    if (this.#actsAsHome) return;
+    await Promise.race([this.#reporting, clock.sleep(HOME_ANSWER_WAIT_MS)]);
   }
 
   endedWell(fingerprint: string): void {
     if (!this.#suspects.has(fingerprint)) return;
     this.#suspects = new Set([...this.#suspects].filter((suspect) => suspect !== fingerprint));
-    this.#own = this.#own.filter((interruption) => interruption.fingerprint !== fingerprint);
+    this.#localInterruptions = this.#localInterruptions.filter(
+      (interruption) => interruption.fingerprint !== fingerprint,
+    );
     const { cluster, network } = this.#options;
     const params: EndedWellParams = { fingerprint };
     this.answerEndedWell(params);
     for (const id of this.#otherHomes()) {
       const address = cluster.peerAddress(id);
-      if (address !== undefined) void network.to(address).call(ENDED_WELL_METHOD, params, TELL_TIMEOUT_MS);
+      if (address !== undefined) void network.to(address).call(ENDED_WELL_METHOD, params, REPORT_TIMEOUT_MS);
     }
   }
 
@@ -155,36 +169,38 @@
     return true;
   }
 
-  /** Answers a node that takes this one for a home. */
+  /** Answers a node that considers this one a home. */
   answer({ interruptions }: InterruptedParams): InterruptedReply {
-    this.#beHome(this.#isHome());
-    if (!this.#home) return null;
+    this.#setHome(this.#isHome());
+    if (!this.#actsAsHome) return null;
     for (const { fingerprint, backend } of interruptions) this.#count(fingerprint, backend);
     return interruptions
       .map(({ fingerprint }) => fingerprint)
       .filter((fingerprint) => this.#list.remainingMs(fingerprint) !== undefined);
   }
 
-  /** To be called when another node has published its list, and about once a second. */
+  /** Call it when another node has published its list, and about once a second. */
   update(): void {
-    this.#beHome(this.#isHome());
-    const suspects = this.#ledger.suspects(SUSPECTED_BACKENDS);
+    this.#setHome(this.#isHome());
+    const suspects = this.#ledger.suspects(SUSPECT_THRESHOLD);
     for (const published of this.#options.cluster.quarantines()) {
       for (const request of published.quarantined) this.#add(request, 'peer');
       suspects.push(...published.suspects);
     }
     this.#suspects = new Set(suspects);
-    if (this.#home) this.#publish();
-    // What a home does not answer is told again with the next update.
-    void Promise.allSettled(this.#tellHomes());
+    if (this.#actsAsHome) this.#publish();
+    // Reports that a home does not answer are repeated with the next update.
+    void Promise.allSettled(this.#reportToHomes());
   }
 
-  #beHome(isHome: boolean): void {
-    if (isHome === this.#home) return;
-    this.#home = isHome;
-    // Who is no home is not told which requests ended well, so each time as home begins anew.
+  #setHome(isHome: boolean): void {
+    if (isHome === this.#actsAsHome) return;
+    this.#actsAsHome = isHome;
+    // A node that is no home does not receive which requests completed, so each period as home starts with an
+    // empty ledger.
     this.#ledger = new InterruptionLedger(this.#options.clock);
-    if (isHome) for (const { fingerprint, backend } of this.#own) this.#count(fingerprint, backend);
+    if (isHome)
+      for (const { fingerprint, backend } of this.#localInterruptions) this.#count(fingerprint, backend);
   }
 
   #isHome(): boolean {
@@ -196,43 +212,43 @@
   }
 
   #homes(): readonly string[] {
-    return this.#options.cluster.candidates(HOMES_POOL).slice(0, HOMES);
+    return this.#options.cluster.candidates(HOMES_RANKING).slice(0, HOME_COUNT);
   }
 
-  async #tellSoon(): Promise<void> {
-    await this.#options.clock.sleep(GATHER_MS);
-    this.#telling = undefined;
-    await Promise.any(this.#tellHomes()).catch(() => undefined);
+  async #reportBatch(): Promise<void> {
+    await this.#options.clock.sleep(BATCH_DELAY_MS);
+    this.#reporting = undefined;
+    await Promise.any(this.#reportToHomes()).catch(() => undefined);
   }
 
-  /** Each resolves when its home has answered, and rejects if it has not. */
-  #tellHomes(): Promise<void>[] {
+  /** Each promise resolves when its home has answered, and rejects if it has not. */
+  #reportToHomes(): Promise<void>[] {
     const nowMs = this.#options.clock.now();
-    this.#own = this.#own.filter(({ atMs }) => nowMs - atMs <= INTERRUPTION_MS);
-    return this.#otherHomes().map((id) => this.#tell(id));
+    this.#localInterruptions = this.#localInterruptions.filter(({ atMs }) => nowMs - atMs <= INTERRUPTION_MS);
+    return this.#otherHomes().map((id) => this.#reportTo(id));
   }
 
-  /** Tells a home what its process has not been told, or may not have heard. */
-  async #tell(id: string): Promise<void> {
+  /** Sends a home the interruptions that its current process has not confirmed. */
+  async #reportTo(id: string): Promise<void> {
     const { cluster, network } = this.#options;
     const address = cluster.peerAddress(id);
     const home = cluster.processOf(id)?.token;
     if (address === undefined || home === undefined) return;
-    const news = this.#own.filter(({ knownTo }) => !knownTo.has(home));
-    if (news.length === 0) return;
+    const unconfirmed = this.#localInterruptions.filter(({ knownTo }) => !knownTo.has(home));
+    if (unconfirmed.length === 0) return;
     const params: InterruptedParams = {
-      interruptions: news.map(({ fingerprint, backend }) => ({ fingerprint, backend })),
+      interruptions: unconfirmed.map(({ fingerprint, backend }) => ({ fingerprint, backend })),
     };
-    const reply = (await network.to(address).call(INTERRUPTED_METHOD, params, TELL_TIMEOUT_MS)) as
+    const reply = (await network.to(address).call(INTERRUPTED_METHOD, params, REPORT_TIMEOUT_MS)) as
       InterruptedReply | undefined;
     if (reply === undefined || reply === null) throw new Error(`${id} does not count`);
-    for (const { knownTo } of news) knownTo.add(home);
+    for (const { knownTo } of unconfirmed) knownTo.add(home);
     for (const fingerprint of reply) this.#add({ fingerprint, ageMs: 0 }, 'peer');
   }
 
   #count(fingerprint: string, backend: string): void {
     if (this.#list.remainingMs(fingerprint) !== undefined) return;
-    if (this.#ledger.note(fingerprint, backend) < ENOUGH_BACKENDS) return;
+    if (this.#ledger.note(fingerprint, backend) < QUARANTINE_THRESHOLD) return;
     this.#ledger.forget(fingerprint);
     this.#add({ fingerprint, ageMs: 0 }, 'counted');
     this.#publish();
@@ -243,20 +259,21 @@
     const remainingMs = this.#list.remainingMs(request.fingerprint);
     this.#options.telemetry.event('warn', 'request.quarantined', request.fingerprint, {
       from,
-      backends: from === 'counted' ? ENOUGH_BACKENDS : undefined,
+      backends: from === 'counted' ? QUARANTINE_THRESHOLD : undefined,
       remainingMs: remainingMs === undefined ? undefined : Math.round(remainingMs),
     });
   }
 
-  /** Tells all nodes, if there is anything that they were not told, or if they were told long ago. */
+  /** Publishes the lists if they changed, or if they were last published long ago. */
   #publish(): void {
     const { clock, cluster } = this.#options;
     const quarantined = this.#list.entries();
-    const suspects = this.#ledger.suspects(SUSPECTED_BACKENDS).slice(0, MOST_SUSPECTS);
+    const suspects = this.#ledger.suspects(SUSPECT_THRESHOLD).slice(0, MAX_SUSPECTS);
     const fingerprints = quarantined.map(({ fingerprint }) => fingerprint);
-    // Which of the two lists a request is on counts: one that moves from suspects to quarantined is news.
+    // The comparison keeps the two lists apart: a request that moves from suspected to quarantined is a
+    // change.
     const content = JSON.stringify([fingerprints, suspects]);
-    const isDue = content !== NOTHING_PUBLISHED && clock.now() - this.#publishedMs >= REPUBLISH_MS;
+    const isDue = content !== EMPTY_CONTENT && clock.now() - this.#publishedMs >= REPUBLISH_MS;
     if (content === this.#published && !isDue) return;
     this.#published = content;
     this.#publishedMs = clock.now();
--- a/packages/gateway/src/cluster/fleet-quotas.ts
+++ b/packages/gateway/src/cluster/fleet-quotas.ts
@@ -12,18 +12,21 @@
 import type { Cluster } from './cluster.js';
 import type { PeerCaller } from './peer-caller.js';
 
-/** Asks the home of some tenants for units of their quotas. */
+/** Asks the home node of some tenants for units of their quotas. */
 export const BORROW_METHOD = 'quota.borrow';
-/** The same of backends that name how many requests they take from all nodes together. */
+/** The same for backends that state how many requests they accept from all nodes together. */
 export const RATE_BORROW_METHOD = 'rate-limit.borrow';
 
-/** Quotas of one kind: what they are of, by which the homes are ranked, and how homes are asked. */
+/** A kind of quota: what it limits, the name by which home nodes are ranked, and how they are asked. */
 export interface QuotaKind {
   readonly name: 'quota' | 'rate-limit';
   readonly borrowMethod: string;
-  /** Whether rules are known to those who borrow, not to homes. */
+  /** Whether the borrowing nodes know the rules and send them to the homes, which do not know them. */
   readonly tellsRules: boolean;
-  /** Whether a node without a home admits nothing, rather than its part: parts of a few requests a second are none. */
+  /**
+   * Whether a node without a home admits nothing, rather than its share: a share of a few requests a second
+   * is too small to use.
+   */
   readonly needsHome: boolean;
   /** See {@link QuotaLedgerOptions.retries}. */
   readonly retries: 'in-turn' | 'next-unit';
@@ -51,7 +54,10 @@
   readonly requests: readonly LoanRequest[];
 }
 
-/** Params of {@link RATE_BORROW_METHOD} as they come: each request brings the rule that its node goes by. */
+/**
+ * Schema of the params of {@link RATE_BORROW_METHOD}: each request carries the rule that the sending node
+ * applies.
+ */
 const rateBorrowParams = z.object({
   node: z.string(),
   group: z.number(),
@@ -68,45 +74,49 @@
   ),
 });
 
-/** Undefined for what is no such question. */
+/** Undefined if the params are not a valid borrow request. */
 export function readRateBorrow(params: unknown): BorrowParams | undefined {
   const { data } = rateBorrowParams.safeParse(params);
   if (data === undefined) return undefined;
-  // A share that is absent is told as absent.
+  // Leaves an absent share out, rather than passing it on as undefined.
   const requests = data.requests.map(({ share, ...rest }) =>
     share === undefined ? rest : { ...rest, share },
   );
   return { ...data, requests };
 }
 
-/** Null from a node that does not take itself for the home. */
+/** Null from a node that does not consider itself the home. */
 export type BorrowReply = readonly Loan[] | null;
 
-/** What the home and its borrowers see of the fleet. */
+/** The part of the cluster that homes and borrowers use. */
 export type QuotaSight = Pick<Cluster, 'selfId' | 'candidates' | 'peerAddress' | 'lostMembers'>;
 
-/** By how much operators let the units of a window exceed rate and burst, as nodes do not act as one. */
+/**
+ * By how much operators let the units of a window exceed rate and burst, as nodes can't act in perfect
+ * coordination.
+ */
 export interface QuotaTolerance {
   readonly windowSeconds: number;
-  /** Part of what the rule allows in a window. */
+  /** Fraction of what the rule allows in a window. */
   readonly overage: number;
-  /** Units beside that. */
+  /** Units in addition to that. */
   readonly slack: number;
 }
 
 /**
- * Part of the tolerance that callers get as a larger burst: requests are large beside the burst of a small tenant, and to
- * refuse one that is within the window serves nobody. The rest is for what nodes out of sight of one another lend.
+ * Fraction of the tolerance that callers get as a larger burst: requests are large compared with the burst of
+ * a small tenant, and refusing one that is within the window helps nobody. The rest covers what nodes lend
+ * that do not see one another.
  */
-const TOLERANCE_FOR_BURSTS = 0.5;
+const BURST_TOLERANCE_SHARE = 0.5;
 
-/** The rule by which units are lent, so that what a window takes stays within rule and tolerance. */
+/** The rule by which units are lent, chosen so that the use of a window stays within rule and tolerance. */
 export function widened(rule: QuotaRule, tolerance: QuotaTolerance | undefined): QuotaRule {
   if (tolerance === undefined) return rule;
   const { windowSeconds, overage, slack } = tolerance;
   const { ratePerSecond, burst } = rule;
   const tolerated = overage * (ratePerSecond * windowSeconds + burst) + slack;
-  return { ratePerSecond, burst: burst + TOLERANCE_FOR_BURSTS * tolerated };
+  return { ratePerSecond, burst: burst + BURST_TOLERANCE_SHARE * tolerated };
 }
 
 export interface FleetQuotasOptions {
@@ -116,42 +126,49 @@
   readonly network: PeerCaller;
   readonly telemetry: Telemetry;
   readonly rules: QuotaRules;
-  /** Subjects that have rules. */
+  /** Number of subjects that have rules. */
   readonly subjectCount: () => number;
-  /** Part of a bound on the whole fleet that this node may use without asking any other, from 0 to 1. */
+  /** Fraction of a limit for the whole fleet that this node may use without asking any other, from 0 to 1. */
   readonly fleetShare: () => number;
 }
 
 /**
- * Subjects of which one node is the home. A node asks each home that it needs some three times a second for all of its
- * subjects together, so few homes keep the calls few; more of them share the work of a large number of subjects.
+ * Number of subjects that share a home node. A node asks each home that it needs about three times a second
+ * for all of its subjects together, so few homes keep the calls few, while more homes spread the work for a
+ * large number of subjects.
  */
 const SUBJECTS_PER_HOME = 64;
-/** A home in reach answers in a few milliseconds; a request waits no longer for one that is lost. */
+/**
+ * A reachable home answers in a few milliseconds; a request waits no longer than this for one that is lost.
+ */
 const BORROW_TIMEOUT_MS = 150;
 
-/** Quotas that hold over all nodes: each group of subjects has a home, the node that ranks first for it. */
+/**
+ * Quotas that apply to all nodes together: each group of subjects has a home, the node that ranks first for
+ * it.
+ */
 export class FleetQuotas {
   readonly #options: FleetQuotasOptions;
   readonly #wallets = new Map<number, QuotaWallet>();
-  /** Of the groups whose home this node is. */
+  /** By group, for the groups whose home this node is. */
   readonly #ledgers = new Map<number, QuotaLedger>();
-  #alone = 0;
+  #decisionsWithoutHome = 0;
 
   constructor(options: FleetQuotasOptions) {
     this.#options = options;
   }
 
-  /** To be called about once a second: begins and ends being a home as the ranking tells. */
+  /** Call it about once a second: starts and ends being the home of groups according to the ranking. */
   update(): void {
     for (let group = 0; group < this.#groups(); group += 1) {
       if (this.#homeOf(group) === this.#options.cluster.selfId) this.#ledger(group);
     }
     for (const group of this.#ledgers.keys()) {
-      // What another home lends meanwhile is not known here, so a later time as home begins anew.
+      // What another home lends meanwhile is not known here, so a later period as home starts with a new
+      // ledger.
       if (this.#homeOf(group) !== this.#options.cluster.selfId) this.#ledgers.delete(group);
     }
-    this.#reportAlone();
+    this.#reportDecisionsWithoutHome();
   }
 
   admit(subject: string, units: number): Promise<QuotaDecision> {
@@ -162,7 +179,7 @@
     this.#wallet(subject).giveBack(subject, units);
   }
 
-  /** Answers a node that takes this one for the home of a group. */
+  /** Answers a node that considers this one the home of a group. */
   answer({ node, group, requests }: BorrowParams): BorrowReply {
     if (this.#homeOf(group) !== this.#options.cluster.selfId) return null;
     return this.#ledger(group).lend(node, requests);
@@ -189,7 +206,7 @@
         borrow: (requests) => this.#borrow(group, requests),
         defaultShare: fleetShare,
         onAlone: () => {
-          this.#alone += 1;
+          this.#decisionsWithoutHome += 1;
         },
       });
       this.#wallets.set(group, wallet);
@@ -224,11 +241,13 @@
     return ledger;
   }
 
-  /** One line a second at the most, only while decisions are made without a home. */
-  #reportAlone(): void {
-    if (this.#alone === 0) return;
+  /** Logs at most one line a second, and only while decisions are made without a home. */
+  #reportDecisionsWithoutHome(): void {
+    if (this.#decisionsWithoutHome === 0) return;
     const { kind, telemetry } = this.#options;
-    telemetry.event('warn', `${kind.name}.without-home`, kind.name, { decisions: this.#alone });
-    this.#alone = 0;
+    telemetry.event('warn', `${kind.name}.without-home`, kind.name, {
+      decisions: this.#decisionsWithoutHome,
+    });
+    this.#decisionsWithoutHome = 0;
   }
 }
--- a/packages/gateway/src/cluster/fleet-share.ts
+++ b/packages/gateway/src/cluster/fleet-share.ts
@@ -1,22 +1,26 @@
 import type { Clock } from '@canvasridge/clock';
 import type { Directory } from './directory.js';
 
-/** A share is worked out anew after this time: it takes a pass over all members. */
-const LOOK_AGAIN_MS = 250;
-/** Shares are the smallest of this time, so that a node that is cut off from others does not use theirs. */
+/** A share is computed again after this time, as that takes a pass over all members. */
+const REFRESH_MS = 250;
+/**
+ * The share in use is the smallest one of this time, so that a node that is cut off from others does not use
+ * theirs.
+ */
 const WINDOW_MS = 30_000;
 
 /**
- * The part of a bound on the whole fleet, such as connections to a back end or retries, that this node may use without
- * asking any other. Shares of all nodes sum up to 1 at the most, as far as they see the same members.
+ * The fraction of a fleet-wide limit, such as connections to a backend or retries, that this node may use
+ * without asking any other. The shares of all nodes add up to at most 1, as long as they see the same
+ * members.
  */
 export class FleetShare {
   readonly #clock: Clock;
   readonly #directory: Directory;
   readonly #selfId: string;
-  /** Shares of late, the smallest first: a newer one that is smaller takes the place of all that are not. */
+  /** Recent shares, the smallest first: a new share replaces all that are not smaller than it. */
   #smallest: { readonly share: number; readonly atMs: number }[] = [];
-  #lookedMs = -Infinity;
+  #refreshedMs = -Infinity;
 
   constructor(clock: Clock, directory: Directory, selfId: string) {
     this.#clock = clock;
@@ -27,12 +31,12 @@
   /** From 0 to 1. */
   get value(): number {
     const nowMs = this.#clock.now();
-    if (nowMs - this.#lookedMs >= LOOK_AGAIN_MS) this.#look(nowMs);
+    if (nowMs - this.#refreshedMs >= REFRESH_MS) this.#refresh(nowMs);
     return this.#smallest[0]?.share ?? 0;
   }
 
-  #look(nowMs: number): void {
-    this.#lookedMs = nowMs;
+  #refresh(nowMs: number): void {
+    this.#refreshedMs = nowMs;
     const share = this.#directory.shareOf(this.#selfId);
     const kept = this.#smallest.filter((entry) => entry.share < share && nowMs - entry.atMs < WINDOW_MS);
     this.#smallest = [...kept, { share, atMs: nowMs }];
--- a/packages/gateway/src/cluster/former-leader.ts
+++ b/packages/gateway/src/cluster/former-leader.ts
@@ -1,9 +1,9 @@
 import type { Cluster } from './cluster.js';
 
-/** What tells whether a leader is gone: the membership, and what came over the connection to it. */
-export interface LeaderSight extends Pick<Cluster, 'selfId' | 'processOf'> {
-  /** Whether a member sent this node anything just now. */
-  readonly heardLately: (id: string) => boolean;
+/** What shows whether a leader is gone: the membership, and what was received over the connection to it. */
+export interface LeaderLiveness extends Pick<Cluster, 'selfId' | 'processOf'> {
+  /** Whether a member sent this node anything recently. */
+  readonly heardRecently: (id: string) => boolean;
 }
 
 interface LeaderProcess {
@@ -11,30 +11,31 @@
   readonly token: string | undefined;
 }
 
-/** The last other node that led a pool, and whether that process can still give orders. */
+/** Tracks the last other node that led a pool, and whether that process can still give orders. */
 export class FormerLeader {
-  readonly #sight: LeaderSight;
+  readonly #liveness: LeaderLiveness;
   #former: LeaderProcess | undefined;
 
-  constructor(sight: LeaderSight) {
-    this.#sight = sight;
+  constructor(liveness: LeaderLiveness) {
+    this.#liveness = liveness;
   }
 
-  /** A node is seen to lead now. */
-  note(leader: string | undefined): void {
-    if (leader === undefined || leader === this.#sight.selfId) return;
-    this.#former = { id: leader, token: this.#sight.processOf(leader)?.token };
+  /** Records which node leads now. */
+  recordLeader(leader: string | undefined): void {
+    if (leader === undefined || leader === this.#liveness.selfId) return;
+    this.#former = { id: leader, token: this.#liveness.processOf(leader)?.token };
   }
 
   /**
-   * Whether its process ended, was replaced, said that it stops, or is believed dead while it is silent here too:
-   * a member can be believed dead wrongly for a moment. False if none was seen.
+   * Whether its process ended, was replaced, announced that it stops, or is considered dead and has also sent
+   * this node nothing recently: a member can be considered dead by mistake for a moment. False if no other
+   * leader was seen.
    */
   isGone(): boolean {
     if (this.#former === undefined) return false;
-    const now = this.#sight.processOf(this.#former.id);
+    const now = this.#liveness.processOf(this.#former.id);
     if (now === undefined || now.token !== this.#former.token) return true;
-    if (now.state === 'dead') return !this.#sight.heardLately(this.#former.id);
+    if (now.state === 'dead') return !this.#liveness.heardRecently(this.#former.id);
     return now.state !== 'alive' && now.state !== 'suspect';
   }
 }
--- a/packages/gateway/src/cluster/loop-lag.ts
+++ b/packages/gateway/src/cluster/loop-lag.ts
@@ -1,25 +1,28 @@
 import type { Clock } from '@canvasridge/clock';
 
 const SAMPLE_MS = 500;
-/** Weight of the newest sample in the mean: about the last two seconds count. */
+/** Weight of the newest sample in the moving average, which covers about the last two seconds. */
 const WEIGHT = 0.25;
-/** One sample counts up to this, as a pause of the whole process is no sign of load. */
-const LONGEST_SAMPLE_MS = 80;
+/** A sample counts up to this value, as a pause of the whole process is no sign of load. */
+const MAX_SAMPLE_MS = 80;
 /**
- * Mean lateness of timers from which this process counts as busy: a request passes the loop some four times from its
- * head to its first byte, and so loses a tenth of a second.
+ * Mean timer delay above which this process counts as busy: a request passes the event loop about four times
+ * between its header and its first byte, and so loses a tenth of a second.
  */
 const BUSY_LAG_MS = 25;
-/** A busy process counts as such for this long: callers that were sent elsewhere come back only then. */
+/**
+ * A process that became busy counts as such for at least this long: callers that were redirected return only
+ * after it.
+ */
 const BUSY_HOLD_MS = 15_000;
 
-/** How late this process runs its timers, and so everything else. */
+/** Measures the event loop lag: how late timers, and so everything else in this process, run. */
 export class LoopLag {
   readonly #clock: Clock;
   readonly #onBusy: (busy: boolean) => void;
   #meanMs = 0;
   #busy = false;
-  #calmAtMs = 0;
+  #busyUntilMs = 0;
   #stopped = false;
 
   /** @param onBusy called with each change of {@link LoopLag.busy} */
@@ -28,7 +31,7 @@
     this.#onBusy = onBusy;
   }
 
-  /** Mean lateness of the last two seconds, in milliseconds. */
+  /** Moving average of the lag over about the last two seconds, in milliseconds. */
   get meanMs(): number {
     return this.#meanMs;
   }
@@ -50,13 +53,13 @@
     this.#stopped = true;
   }
 
-  /** Takes one sample, in milliseconds. */
+  /** Records one sample, in milliseconds. */
   observe(lateMs: number): void {
     const nowMs = this.#clock.now();
-    this.#meanMs += WEIGHT * (Math.min(lateMs, LONGEST_SAMPLE_MS) - this.#meanMs);
+    this.#meanMs += WEIGHT * (Math.min(lateMs, MAX_SAMPLE_MS) - this.#meanMs);
     const isLate = this.#meanMs > BUSY_LAG_MS;
-    if (isLate) this.#calmAtMs = nowMs + BUSY_HOLD_MS;
-    const busy = isLate || nowMs < this.#calmAtMs;
+    if (isLate) this.#busyUntilMs = nowMs + BUSY_HOLD_MS;
+    const busy = isLate || nowMs < this.#busyUntilMs;
     if (busy === this.#busy) return;
     this.#busy = busy;
     this.#onBusy(busy);
--- a/packages/gateway/src/cluster/order-permission.ts
+++ b/packages/gateway/src/cluster/order-permission.ts
@@ -6,56 +6,61 @@
 import type { PoolEntry } from './pool-entry.js';
 import { isSoleLeader } from './sole-leader.js';
 
-/** What the operator's settings say of fences. */
+/** Fencing settings of the engines, from the operator's configuration. */
 export interface EngineFences {
-  /** Whether engines refuse an order whose fence is lower than one that they saw. */
+  /** Whether engines refuse an order whose fencing token is lower than one that they have already seen. */
   readonly checked: boolean;
-  /** Time without trouble after which a node counts as calm, in milliseconds. */
+  /** Time without a pause or loss of contact after which a node counts as stable, in milliseconds. */
   readonly settledAfterMs: number;
 }
 
 export interface OrderPermissionOptions {
-  /** For waiting until rights of others have ended. */
+  /** Measures how long to wait until the rights of other nodes have expired. */
   readonly clock: Clock;
-  /** For rights of this node. */
+  /** Measures how long this node's own rights last; also advances while the machine is suspended. */
   readonly fleetClock: ContinuousClock;
   readonly random: Random;
   readonly cluster: Cluster;
   readonly timing: SlotTiming;
   readonly engineFences: EngineFences;
-  /** Parts of the policy that are switched off, for measurements. */
+  /** Parts of the policy that are disabled, for measurements. */
   readonly switchedOff: SwitchedOff;
   readonly telemetry: Telemetry;
-  /** What this node knew of engines may be wrong, since it was paused or out of sight. */
-  readonly onDoubt: (reason: string) => void;
-  /** The machine was suspended, or so it seems: what this node holds has to be confirmed. */
+  /** This node was paused or lost contact with most others, so its view of the engines may be out of date. */
+  readonly onStateUncertain: (reason: string) => void;
+  /** The machine was suspended, or seems to have been: what this node holds must be confirmed. */
   readonly onSuspended: () => void;
 }
 
 /**
- * A leader gives orders for so long after it asked most others and got answers. A leader that is cut off is believed dead by
- * the others 1.3 s later at the earliest (a probe and the suspicion), and the next one leads 0.15 s after that.
+ * A leader may give orders for this long after it sent a quorum request that a majority answered. The others
+ * consider a leader that is cut off dead 1.3 s later at the earliest (a probe and the suspicion timeout), and
+ * the next one leads 0.15 s after that.
  */
-const QUORUM_AGE_MS = 1500;
+const MAX_QUORUM_AGE_MS = 1500;
 /**
- * A new leader takes no engine for so long, as the one before may still give orders until its quorum is too old, and one of them may
- * be on its way: 1.5 s and 0.6 s after the cut, where this node leads after 1.45 s at the earliest.
+ * For this long a new leader does not become holder of any engine, because the previous leader may still give
+ * orders until its quorum expires and one of those may still be in transit: 1.5 s and 0.6 s after the cut,
+ * whereas this node leads after 1.45 s at the earliest.
  */
 export const HANDOVER_MS = 1000;
 /**
- * A node that may be cut off takes no engine for so long after it saw orders of a leader on the other side: cuts of a node
- * or a zone last minutes at times, and engines may stand idle for long.
+ * A node that may be cut off does not become holder of any engine for this long after it saw orders of a
+ * leader on the other side of the cut: a node or a zone is sometimes cut off for minutes, and engines may be
+ * idle for long.
  */
-const OTHER_LEADER_MS = 30_000;
+const OTHER_LEADER_WAIT_MS = 30_000;
 /**
- * Orders of a leader that was lost together with most others show for so long after that was noticed: the period and
- * the lag of reports. (It was lost more than a second before.)
+ * Reports may still show orders of a leader for this long after its loss, together with that of most other
+ * nodes, was noticed: the report period plus the report lag. (The leader was lost more than a second before
+ * that.)
  */
-const LAST_ORDERS_SHOWN_MS = 1000;
+const REPORTED_ORDERS_LAG_MS = 1000;
 
 /**
- * Whether this node may give orders and become holder of engines, as far as that is a matter of the other nodes. Each belief
- * behind the answer has an age: two nodes that believe for longer than the other one waits both give orders.
+ * Decides whether this node may give orders and become holder of engines, as far as that depends on the other
+ * nodes. Every observation behind a decision expires: if two nodes both relied on observations for longer
+ * than the other one waits, both would give orders.
  */
 export class OrderPermission {
   readonly #options: OrderPermissionOptions;
@@ -65,12 +70,15 @@
   #seesMost = false;
   #resigned = false;
   #suspendedMs: number;
-  /** When this node was last paused or out of sight of the others, so that it may have missed a change. */
-  #unsureSinceMs = -Infinity;
+  /**
+   * When this node was last paused, suspended or without contact to most others, so that it may have missed a
+   * change of leader.
+   */
+  #lastDisruptionMs = -Infinity;
 
   constructor(options: OrderPermissionOptions) {
     this.#options = options;
-    const { clock, fleetClock, random, cluster, timing, telemetry, onDoubt } = options;
+    const { clock, fleetClock, random, cluster, timing, telemetry, onStateUncertain } = options;
     this.#startedMs = clock.now();
     this.#suspendedMs = fleetClock.suspendedMs;
     this.#quorum = new LeaderQuorum({
@@ -78,107 +86,115 @@
       random,
       members: () => cluster.recentMembers(),
       ask: (members, timeoutMs) => cluster.inReach(members, timeoutMs),
-      onBackInReach: (members) => cluster.catchUpWith(members),
+      onReachableAgain: (members) => cluster.catchUpWith(members),
     });
     this.#pauses = new PauseDetector(clock, timing.leaseMs / 3);
     this.#pauses.onPause((pausedMs) => {
       telemetry.event('warn', 'process.paused', 'self', { pausedMs: Math.round(pausedMs) });
-      this.#unsureSinceMs = clock.now();
-      onDoubt('process was paused');
+      this.#lastDisruptionMs = clock.now();
+      onStateUncertain('process was paused');
     });
   }
 
-  /** Notices pauses and what is in sight; to be called a few times a second. */
+  /** Checks for pauses and changes in visibility; call it a few times a second. */
   update(leads: boolean): void {
-    const { clock, cluster, onDoubt } = this.#options;
+    const { clock, cluster, onStateUncertain } = this.#options;
     this.#pauses.check();
-    this.#noticeSuspension();
+    this.#checkSuspension();
     cluster.update();
     const seesMost = cluster.seesMost();
-    if (seesMost !== this.#seesMost) this.#logSight(seesMost);
+    if (seesMost !== this.#seesMost) this.#logVisibility(seesMost);
     if (!seesMost && this.#seesMost) {
-      this.#unsureSinceMs = clock.now();
-      onDoubt('out of sight of most nodes');
+      this.#lastDisruptionMs = clock.now();
+      onStateUncertain('out of sight of most nodes');
     }
     this.#seesMost = seesMost;
     if (leads) void this.#quorum.renew();
   }
 
-  /** This node gives no orders any more, as it stops. */
+  /** Stops giving orders for good, because this node is shutting down. */
   resign(): void {
     this.#resigned = true;
   }
 
-  /** Whether a node that leads may give orders now; asked before each. */
+  /** Whether this node may give orders now if it leads; checked before each order. */
   mayOrder(): boolean {
-    if (this.#resigned || !this.#seesMost || this.#pauses.check() || this.#noticeSuspension()) return false;
-    return this.#quorum.ageMs <= QUORUM_AGE_MS;
+    if (this.#resigned || !this.#seesMost || this.#pauses.check() || this.#checkSuspension()) return false;
+    return this.#quorum.ageMs <= MAX_QUORUM_AGE_MS;
   }
 
   /**
-   * Whether an engine that stood still for a lease can be taken. For {@link HANDOVER_MS} the leader before may still give
-   * orders. A node that forgot most others may be cut off from them: orders that it did not give show their leader, and one
-   * that sees nobody is more likely cut off than the last one left.
+   * Whether this node may become holder of an engine that has received no order for a lease. For {@link
+   * HANDOVER_MS} the previous leader may still give orders. A node that no longer counts most others as
+   * members may be cut off from them: orders that it did not give reveal a leader on their side, and a node
+   * that sees nobody is more likely cut off than the last one running.
    */
   mayTake({ leadingSinceMs, foreignOrdersMs }: PoolEntry): boolean {
     const { clock, cluster } = this.#options;
     const nowMs = clock.now();
     if (nowMs - leadingSinceMs < HANDOVER_MS) return false;
-    if (cluster.aloneMs !== undefined && cluster.aloneMs < OTHER_LEADER_MS) return false;
-    return !cluster.isRemainder || nowMs - foreignOrdersMs >= OTHER_LEADER_MS;
+    if (cluster.aloneMs !== undefined && cluster.aloneMs < OTHER_LEADER_WAIT_MS) return false;
+    return !cluster.isRemainder || nowMs - foreignOrdersMs >= OTHER_LEADER_WAIT_MS;
   }
 
-  /** Reports show orders of another node. Those of the leader before can show for a while after it was lost. */
-  noteForeignOrders(entry: PoolEntry): void {
+  /**
+   * Records that reports show orders of another node. After the previous leader was lost, its last orders
+   * show for a while.
+   */
+  recordForeignOrders(entry: PoolEntry): void {
     const nowMs = this.#options.clock.now();
-    const isAfterLoss = !this.#seesMost && nowMs - this.#unsureSinceMs > LAST_ORDERS_SHOWN_MS;
+    const isAfterLoss = !this.#seesMost && nowMs - this.#lastDisruptionMs > REPORTED_ORDERS_LAG_MS;
     if (isAfterLoss || this.#options.cluster.isRemainder) entry.foreignOrdersMs = nowMs;
   }
 
-  /** Whether an engine that never took an order can be taken at once, as no other node can lead. */
+  /**
+   * Whether this node may become holder of an engine that never received an order at once, because no other
+   * node can lead.
+   */
   mayTakeUnused({ leading, leadingSinceMs }: PoolEntry): boolean {
     const { clock, timing, cluster } = this.#options;
-    const standing = { leadingSinceMs, unsureSinceMs: this.#unsureSinceMs, seesAll: cluster.seesAll() };
-    return leading && isSoleLeader(standing, clock.now(), timing.leaseMs + timing.leaseMarginMs);
+    const state = { leadingSinceMs, lastDisruptionMs: this.#lastDisruptionMs, seesAll: cluster.seesAll() };
+    return leading && isSoleLeader(state, clock.now(), timing.leaseMs + timing.leaseMarginMs);
   }
 
   /**
-   * Whether engines can be taken without waiting for a lease: they refuse lower fences, and no holder before
-   * this node can still be calm and in reach. A process that has just started is not, so what it does itself
-   * can't collide with one that is.
+   * Whether this node may become holder of engines without waiting for a lease: the engines refuse lower
+   * fencing tokens, and no previous holder can still be stable and reachable. A process that has just started
+   * is not yet stable, so its own actions can't conflict with a holder that is.
    */
-  mayTakeAtOnce({ leading, former }: PoolEntry): boolean {
+  mayTakeAtOnce({ leading, formerLeader }: PoolEntry): boolean {
     const { clock, engineFences, switchedOff } = this.#options;
     const isAllowed = engineFences.checked && !switchedOff.has('take-at-once');
     if (!isAllowed || !leading) return false;
     const nowMs = clock.now();
     if (nowMs - this.#startedMs < engineFences.settledAfterMs) return true;
-    return nowMs - this.#unsureSinceMs > engineFences.settledAfterMs && former.isGone();
+    return nowMs - this.#lastDisruptionMs > engineFences.settledAfterMs && formerLeader.isGone();
   }
 
   /**
-   * Looks whether the machine was suspended. A time of day that was set may look the same, so what this node holds is not given
-   * up: it orders again once most others have answered, it has learnt what it missed, and each engine shows the count it expects.
+   * Checks whether the machine was suspended. A change of the system time may look the same, so this node
+   * does not give up what it holds: it gives orders again once a majority has answered, it has caught up on
+   * what it missed, and each engine shows the count that it expects.
    */
-  #noticeSuspension(): boolean {
+  #checkSuspension(): boolean {
     const { clock, fleetClock, telemetry, onSuspended } = this.#options;
     const { suspendedMs } = fleetClock;
-    const newMs = suspendedMs - this.#suspendedMs;
-    if (newMs === 0) return false;
+    const newlySuspendedMs = suspendedMs - this.#suspendedMs;
+    if (newlySuspendedMs === 0) return false;
     this.#suspendedMs = suspendedMs;
-    telemetry.event('warn', 'process.suspended', 'self', { suspendedMs: Math.round(newMs) });
-    this.#unsureSinceMs = clock.now();
-    this.#quorum.doubt();
+    telemetry.event('warn', 'process.suspended', 'self', { suspendedMs: Math.round(newlySuspendedMs) });
+    this.#lastDisruptionMs = clock.now();
+    this.#quorum.invalidate();
     onSuspended();
     return true;
   }
 
-  /** With `pool.leader` this tells which node could give orders when. */
-  #logSight(seesMost: boolean): void {
+  /** Together with `pool.leader` events this shows which node was able to give orders at which time. */
+  #logVisibility(seesMost: boolean): void {
     const { cluster, telemetry } = this.#options;
     telemetry.event(seesMost ? 'info' : 'warn', 'peers.sight', cluster.selfId, {
       seesMost,
-      ...cluster.sightFigures,
+      ...cluster.visibilityCounts,
     });
   }
 }
--- a/packages/gateway/src/cluster/own-uses.ts
+++ b/packages/gateway/src/cluster/own-uses.ts
@@ -10,8 +10,8 @@
 }
 
 /**
- * The requests that this node runs on engines. What a leader has granted is in its memory only, so its
- * successor is told by the nodes themselves.
+ * The requests that this node runs on engines. A leader keeps what it has granted in memory only, so the
+ * nodes report their requests to its successor.
  */
 export class OwnUses {
   readonly #clock: Clock;
@@ -31,14 +31,14 @@
     if (use !== undefined) use.started = true;
   }
 
-  /** The engine on which a request ran; undefined if none is known. */
+  /** Removes a request and returns the engine on which it ran; undefined if none is known. */
   end(requestId: string): string | undefined {
     const use = this.#uses.get(requestId);
     this.#uses.delete(requestId);
     return use?.backendId;
   }
 
-  /** What runs on the engines of a pool now. */
+  /** The requests that currently run on the engines of a pool. */
   of(pool: string): RunningUse[] {
     const nowMs = this.#clock.now();
     const uses: RunningUse[] = [];
--- a/packages/gateway/src/cluster/peer-caller.ts
+++ b/packages/gateway/src/cluster/peer-caller.ts
@@ -1,4 +1,4 @@
-/** Calls other nodes. */
+/** Calls methods of other nodes. */
 export interface PeerCaller {
   to(address: string): {
     /** Undefined if no answer came in time. */
--- a/packages/gateway/src/cluster/peer-uses.ts
+++ b/packages/gateway/src/cluster/peer-uses.ts
@@ -6,7 +6,7 @@
   readonly requestId: string;
 }
 
-/** What this node holds for others, by the connection over which they would tell its end. */
+/** What this node holds for others, by the connection over which they would report its end. */
 export class PeerUses {
   readonly #byPeer = new Map<PeerConnection, Map<string, PeerUse>>();
 
@@ -20,7 +20,10 @@
     this.#byPeer.get(peer)?.delete(requestId);
   }
 
-  /** Takes out all that was held for a peer whose connection ended: it can't tell any more when they end. */
+  /**
+   * Removes everything held for a peer whose connection ended, and returns it: the peer can't report any more
+   * when it ends.
+   */
   takeAll(peer: PeerConnection): readonly PeerUse[] {
     const uses = this.#byPeer.get(peer);
     this.#byPeer.delete(peer);
--- a/packages/gateway/src/cluster/pool-entry.ts
+++ b/packages/gateway/src/cluster/pool-entry.ts
@@ -1,13 +1,13 @@
 import type { PoolLeadership, SlotPool } from '@canvasridge/slots';
 import type { FormerLeader } from './former-leader.js';
 
-/** What a node holds of one pool of engines. */
+/** A node's state for one pool of engines. */
 export interface PoolEntry {
   readonly leadership: PoolLeadership;
-  readonly former: FormerLeader;
-  /** Members that have told what they run since this node leads. */
-  readonly told: Set<string>;
-  /** Kept while this node leads, or observes since it is next to lead. */
+  readonly formerLeader: FormerLeader;
+  /** Members that have reported what they run since this node became the leader. */
+  readonly reportedMembers: Set<string>;
+  /** Present while this node leads the pool, or observes it because it is next to lead. */
   pool: SlotPool | undefined;
   leading: boolean;
   leadingSinceMs: number;
--- a/packages/gateway/src/cluster/published-state.ts
+++ b/packages/gateway/src/cluster/published-state.ts
@@ -16,7 +16,7 @@
   type WaitingBytes,
 } from './configuration-parts.js';
 import { departureBudget, type DepartureBudget } from './departure-budget.js';
-import { usualAgeMs, type KeyLease } from './key-lease.js';
+import { expectedAgeMs, type KeyLease } from './key-lease.js';
 import {
   SNAPSHOT_METHOD,
   StateExchange,
@@ -29,7 +29,7 @@
 export interface PublishedStateOptions {
   readonly nodeId: string;
   readonly zone: string;
-  /** Time within which each node has to know that a backend leaves. */
+  /** Time within which each node must know that a backend is leaving. */
   readonly drainMs: number;
   readonly keyLease: KeyLease;
   readonly clock: Clock;
@@ -39,11 +39,11 @@
   readonly fleet: FleetState;
   readonly cluster: Cluster;
   readonly network: PeerNetwork;
-  /** Whether this node hands out slots or is next to do so, and so needs the whole list. */
+  /** Whether this node leads a pool or is next to lead one, and so needs the whole list. */
   readonly needsWholeState: () => boolean;
 }
 
-/** What other nodes ask a node for of its published state. */
+/** Methods by which other nodes read this node's published state. */
 export function publishedMethods(state: () => PublishedState): PeerMethods {
   return {
     [SNAPSHOT_METHOD]: (params, peer) => state().answerSnapshot(params as SnapshotRequest, peer),
@@ -56,24 +56,27 @@
 export interface SourcePace {
   /** Longest wait for changes of the list of backends. */
   readonly watchMs: number;
-  /** Pause after some came. */
+  /** Pause after changes arrived. */
   readonly pauseMs: number;
   /** Longest pause after a failure. */
   readonly retryMostMs: number;
 }
 
-/** Name under which nodes are ranked as readers of the published state. */
+/** Name by which nodes are ranked as readers of the published state. */
 const READERS_POOL = 'published-state';
-/** Longest watch of the operators' entries, where no key has to stop working within a time. */
+/** Longest watch of the operators' entries where no revocation bound is set for keys. */
 const LONGEST_OPERATOR_WATCH_MS = 5000;
 const LONGEST_OPERATOR_OVERDUE_MS = 1000;
 const READER_RETRY_MS = 700;
-/** A follower that had to read itself, and can't either: most likely no node can, and readers see the return first. */
+/**
+ * Used by a follower that has to read the store itself and fails: most likely no node can read it, and the
+ * readers notice first when it is back.
+ */
 const ORPHAN_RETRY_MS = 2000;
 
 /**
- * How this node comes to know what was published, directly or from peers, and how far it may rely on it: the list of backends
- * by its age, rights that can be withdrawn by the age of the configuration.
+ * Keeps this node up to date with the published state, directly or through peers, and tells how far it can be
+ * relied on: the list of backends by its age, rights that can be withdrawn by the age of the configuration.
  */
 export class PublishedState {
   readonly #options: PublishedStateOptions;
@@ -99,7 +102,7 @@
       ...shared,
       random,
       peers: () => cluster.peerAddresses(),
-      // A node that polls has lost the store: it takes what it can get wherever that is.
+      // A node that polls peers has lost the store: it accepts a configuration from any zone.
       onConfigurationOffered: (version, address) => this.#fetcher.offered(version, address, true),
     });
     this.#follower = new StateFollower({
@@ -111,7 +114,8 @@
       zoneOf: (id) => cluster.zoneOf(id),
       needsWholeState,
       budget: this.#budget,
-      onConfigurationOffered: (version, address, isNear) => this.#fetcher.offered(version, address, isNear),
+      onConfigurationOffered: (version, address, isSameZone) =>
+        this.#fetcher.offered(version, address, isSameZone),
     });
   }
 
@@ -126,7 +130,7 @@
     this.#follower.stop();
   }
 
-  /** Answers a node that lost the store. */
+  /** Answers a node that lost contact with the store. */
   answerSnapshot(known: SnapshotRequest, peer: PeerConnection): SnapshotAnswer {
     return snapshotFor(this.#options.fleet, this.#freshness, known, this.#waiting(peer));
   }
@@ -139,27 +143,27 @@
     return this.#parts.answer(request, this.#waiting(peer));
   }
 
-  /** A peer shows that it has a version of the configuration in force. */
+  /** Records that a peer has a version of the configuration in force. */
   peerShows(address: string, version: number, zone: string): void {
-    this.#freshness.shown(version);
+    this.#freshness.onVersionSeen(version);
     this.#fetcher.offered(version, address, zone === this.#options.zone);
   }
 
   // --- the store ---------------------------------------------------------------------------------
 
-  /** Whether the published state can be read directly; otherwise it is learnt from peers. */
+  /** Sets whether the published state can be read directly; otherwise it is learnt from peers. */
   sourceAnswers(answers: boolean): void {
     this.#exchange.sourceAnswers = answers;
   }
 
-  /** Whether this node reads the published state itself; otherwise others do so for it. */
+  /** Whether this node reads the published state itself; otherwise other nodes read it on its behalf. */
   get readsSource(): boolean {
     return this.#follower.reads;
   }
 
   /** Resolves once this node reads the published state itself. */
   untilReadsSource(): Promise<void> {
-    return this.#follower.untilReading();
+    return this.#follower.waitUntilReading();
   }
 
   get sourcePace(): SourcePace {
@@ -170,7 +174,9 @@
       : { watchMs: directReaderWatchMs, pauseMs: directReaderPauseMs, retryMostMs };
   }
 
-  /** Longest wait for changes of the operators' entries, and how long it may be overdue, in milliseconds. */
+  /**
+   * Longest wait for changes of the operators' entries, and how long a watch may be overdue, in milliseconds.
+   */
   get operatorPace(): { readonly watchMs: number; readonly overdueMs: number } {
     const { watchMs, overdueMs } = this.#options.keyLease;
     return {
@@ -179,48 +185,56 @@
     };
   }
 
-  /** The list of backends was complete in the store at this moment of this node's clock. */
+  /** Records that the list of backends was complete in the store at this time of this node's clock. */
   sourceHeard(asOfMs: number): void {
-    this.#follower.heard(asOfMs);
+    this.#follower.onStoreAnswered(asOfMs);
   }
 
   /**
-   * The configuration in force was the newest one in the store at this moment of this node's clock. Not to be called
-   * while the store holds one that can't be read: it may withdraw rights.
+   * Records that the configuration in force was the newest one in the store at this time of this node's
+   * clock. Must not be called while the store holds one that can't be read: it may withdraw rights.
    */
   configurationConfirmed(asOfMs: number): void {
     this.#freshness.confirm(this.#options.fleet.configurationVersion, asOfMs);
   }
 
-  // --- how far it may be relied upon ---------------------------------------------------------------
+  // --- how far it can be relied on -----------------------------------------------------------------
 
-  /** Time since the list of backends was last known to be complete, in milliseconds; infinite before it was read. */
+  /**
+   * Time since the list of backends was last known to be complete, in milliseconds; Infinity before it was
+   * read.
+   */
   get listAgeMs(): number {
     return this.#follower.listAgeMs;
   }
 
-  /** Whether the list of backends has to be brought up to date before a request that waited since then is written. */
+  /**
+   * Whether the list of backends must be refreshed before a request that waited since the last check is
+   * written.
+   */
   get isListTooOld(): boolean {
     return this.#follower.isListTooOld;
   }
 
-  /** Brings the list of backends up to date if it is so old that one may have left unnoticed for too long. */
+  /** Refreshes the list of backends if it is so old that one may have left unnoticed for too long. */
   refreshIfOld(): Promise<void> {
     return this.#follower.refreshIfOld();
   }
 
-  /** How far the configuration in force may be relied upon for rights that can be withdrawn. */
+  /** How far the configuration in force can be relied on for rights that can be withdrawn. */
   get configurationLease(): ConfigurationLease {
     return { ageMs: this.#freshness.ageMs, leaseMs: this.#options.keyLease.leaseMs };
   }
 
-  /** Whether this node can't tell any more which keys hold, so that it refuses all requests that bear one. */
+  /**
+   * Whether this node no longer knows which keys are valid, so that it refuses all requests that carry one.
+   */
   get isStale(): boolean {
     const { fleet, keyLease } = this.#options;
     return fleet.routes?.tenants !== undefined && this.#freshness.ageMs > keyLease.leaseMs;
   }
 
-  /** To be called about once a second: figures, and one line for each change of {@link isStale}. */
+  /** Call it about once a second: updates metrics, and logs a line for each change of {@link isStale}. */
   report(): void {
     const { metrics, telemetry, keyLease, fleet } = this.#options;
     metrics.storeEra.set(fleet.era);
@@ -237,11 +251,14 @@
     });
   }
 
-  /** Says so where even calm nodes would refuse keys: no setting is changed for it, as that would break a bound. */
+  /**
+   * Logs an error if nodes would refuse keys even without faults. No setting is adjusted, as that would break
+   * a bound.
+   */
   #checkKeyLease(): void {
     const { keyLease, nodeId, telemetry } = this.#options;
     const { leaseMs } = keyLease;
-    const usualMs = usualAgeMs(keyLease, this.#budget);
+    const usualMs = expectedAgeMs(keyLease, this.#budget);
     if (leaseMs === Infinity || usualMs <= leaseMs) return;
     telemetry.event('error', 'configuration.lease-too-short', nodeId, { leaseMs, usualMs });
   }
--- /dev/null
+++ b/packages/gateway/src/cluster/rate-limit-reporter.ts
@@ -0,0 +1,60 @@
+import type { SlotDecision } from '@canvasridge/slots';
+import { rateLimitRule, type BackendRateLimits } from '../backends/backend-rate-limits.js';
+
+export interface RateLimitReporterOptions {
+  readonly rateLimits: Pick<BackendRateLimits, 'perSecond'>;
+  /**
+   * Reports to the leader of the engine's pool what limit the engine stated: requests a second, null for none
+   * any more.
+   */
+  readonly tell: (backendId: string, perSecond: number | null) => void;
+}
+
+/** Makes sure that the leader of a pool knows the limits that its engines stated in answers to this node. */
+export class RateLimitReporter {
+  readonly #options: RateLimitReporterOptions;
+  /**
+   * By engine: the limit that the leader is known to apply; absent if it is not known to have received any.
+   */
+  readonly #knownToLeader = new Map<string, number | null>();
+
+  constructor(options: RateLimitReporterOptions) {
+    this.#options = options;
+  }
+
+  /**
+   * Records the limit that an engine stated in an answer.
+   * @param perSecond undefined if the engine no longer states a limit
+   */
+  onLimitStated(backendId: string, perSecond: number | undefined): void {
+    // The same form as in grants.
+    const stated = perSecond === undefined ? null : rateLimitRule(perSecond).ratePerSecond;
+    if ((this.#knownToLeader.get(backendId) ?? null) === stated) return;
+    this.#knownToLeader.set(backendId, stated);
+    this.#options.tell(backendId, stated);
+  }
+
+  /**
+   * A leader that grants an engine without its limit has not received it: the leader is new, or of a build
+   * that ignores limits.
+   */
+  onGranted({ backendId, ratePerSecond }: SlotDecision & { kind: 'granted' }): void {
+    if (ratePerSecond !== undefined) {
+      this.#knownToLeader.set(backendId, ratePerSecond);
+      return;
+    }
+    this.#knownToLeader.delete(backendId);
+    const perSecond = this.#options.rateLimits.perSecond(backendId);
+    if (perSecond !== undefined) this.onLimitStated(backendId, perSecond);
+  }
+
+  /** The next leader may not know what the previous one knew. */
+  leaderChanged(): void {
+    this.#knownToLeader.clear();
+  }
+
+  /** Forgets engines that are no longer listed. */
+  retain(isListed: (backendId: string) => boolean): void {
+    for (const id of this.#knownToLeader.keys()) if (!isListed(id)) this.#knownToLeader.delete(id);
+  }
+}
--- a/packages/gateway/src/cluster/remote-slots.ts
+++ b/packages/gateway/src/cluster/remote-slots.ts
@@ -8,16 +8,16 @@
   type AcquireReply,
 } from './slot-protocol.js';
 
-/** A leader that sends nothing at all for this long after a question is taken to be out of reach. */
+/** A leader that sends nothing at all for this long after a request is considered unreachable. */
 const SILENCE_MS = 400;
-/** A leader that sends other things acknowledges within this time. */
+/** A leader that is sending other messages acknowledges a request within this time. */
 const ACKNOWLEDGE_TIMEOUT_MS = 1500;
-/** A leader that gave no sign is not asked again for this long. */
+/** An unresponsive leader is not asked again for this long. */
 const AVOID_LEADER_MS = 400;
-/** A queued request whose leader says nothing more is decided here after its timeout and this margin. */
+/** A queued request without a decision from its leader is decided here after its timeout plus this margin. */
 const DECISION_MARGIN_MS = 50;
 
-/** Kept connections to other nodes. */
+/** Persistent connections to other nodes. */
 export interface LeaderNetwork {
   to(address: string): LeaderConnection;
   drop(address: string): void;
@@ -29,11 +29,11 @@
   notify(method: string, params: unknown): void;
   /** Messages received so far. */
   readonly received: number;
-  /** Calls back once when the connection ends. Returns what takes the listener away. */
+  /** Calls the listener once when the connection ends. Returns a function that removes the listener. */
   onClosed(listener: () => void): () => void;
 }
 
-interface Queued {
+interface QueuedRequest {
   readonly pool: string;
   readonly address: string;
   readonly cancel: () => void;
@@ -41,17 +41,17 @@
 }
 
 /**
- * Asks another node, the leader of a pool, for slots, and waits for what it decides. A leader that is lost or
- * replaced decides nothing any more: what waits for it is told to ask again.
+ * Requests slots from another node, the leader of a pool, and waits for its decisions. A leader that is lost
+ * or replaced makes no further decisions: requests that wait for it are ended so that the caller asks again.
  */
 export class RemoteSlots {
   readonly #clock: Clock;
   readonly #network: LeaderNetwork;
   readonly #onSilent: (address: string) => void;
-  readonly #queued = new Map<string, Queued>();
+  readonly #queued = new Map<string, QueuedRequest>();
   #avoidLeaderUntilMs = 0;
 
-  /** @param onSilent called with the address of a leader that gave no sign after a question */
+  /** @param onSilent called with the address of a leader that sent nothing after a request */
   constructor(clock: Clock, network: LeaderNetwork, onSilent: (address: string) => void) {
     this.#onSilent = onSilent;
     this.#clock = clock;
@@ -78,12 +78,15 @@
     return decided;
   }
 
-  /** A decision of the leader about a request that was queued there. */
+  /** Handles a decision of the leader about a request that was queued there. */
   onDecided(decision: SlotDecision): void {
     this.#queued.get(decision.requestId)?.finish(decision);
   }
 
-  /** A pool is led from another address now, or from none that is known. */
+  /**
+   * Cancels requests queued at a previous leader: the pool is now led from another address, or from none that
+   * is known.
+   */
   leaderChanged(pool: string, address: string | undefined): void {
     for (const queued of [...this.#queued.values()]) {
       if (queued.pool === pool && queued.address !== address) queued.cancel();
@@ -91,8 +94,8 @@
   }
 
   /**
-   * Drops the connection to a leader that is silent. One that is merely busy is left alone: with its connection
-   * it would lose all that this node was granted.
+   * Drops the connection to a leader that is silent. A leader that is merely busy keeps its connection:
+   * without it, it would cancel everything that this node was granted.
    */
   #watchSilence(address: string, peer: LeaderConnection): Timer {
     const receivedBefore = peer.received;
@@ -116,7 +119,7 @@
       const finish = (decision: SlotDecision | undefined): void => {
         if (!this.#queued.delete(id)) return;
         timer.cancel();
-        forgetPeer();
+        removeCloseListener();
         cancelled.removeEventListener('abort', cancel);
         resolve(decision);
       };
@@ -126,7 +129,7 @@
       };
       const limitMs = Math.max(request.startWithinMs - request.ageMs, 0) + DECISION_MARGIN_MS;
       const timer = this.#clock.setTimer(limitMs, () => finish(undefined));
-      const forgetPeer = peer.onClosed(() => finish(cancelledDecision(id)));
+      const removeCloseListener = peer.onClosed(() => finish(cancelledDecision(id)));
       cancelled.addEventListener('abort', cancel, { once: true });
       this.#queued.set(id, { pool, address, cancel, finish });
     });
--- a/packages/gateway/src/cluster/slot-answers.ts
+++ b/packages/gateway/src/cluster/slot-answers.ts
@@ -22,7 +22,10 @@
   readonly pools: ReadonlyMap<string, PoolEntry>;
 }
 
-/** Answers other nodes that ask this one, as the leader of a pool, for slots, and notes what they tell of them. */
+/**
+ * Handles messages of other nodes that ask this one, as the leader of a pool, for slots or report on those
+ * that they were granted.
+ */
 export class SlotAnswers {
   readonly #options: SlotAnswersOptions;
   readonly #pools: ReadonlyMap<string, PoolEntry>;
@@ -50,7 +53,10 @@
     return immediate === undefined ? { kind: 'queued' } : { kind: 'decided', decision: immediate };
   }
 
-  /** So that a node that does not list the engine can tell whether it is new or gone. */
+  /**
+   * Adds the revision of the engine's entry, so that a node that does not list the engine can tell whether it
+   * is new or removed.
+   */
   #withEntryRevision(decision: SlotDecision): SlotDecision {
     if (decision.kind === 'refused') return decision;
     const { fleet } = this.#options;
@@ -74,7 +80,7 @@
     const entry = this.#pools.get(pool);
     const adopting = entry?.pool;
     if (entry === undefined || adopting === undefined) return;
-    entry.told.add(member);
+    entry.reportedMembers.add(member);
     for (const use of uses) {
       this.#peerUses.note(peer, pool, use.requestId);
       adopting.adoptUse(use);
@@ -82,12 +88,12 @@
     this.checkUsesKnown(entry);
   }
 
-  /** Once all members have told what they run, adapters may give way again. */
-  checkUsesKnown({ pool, told, leading }: PoolEntry): void {
+  /** Once all members have reported what they run, adapters may be unloaded to make room again. */
+  checkUsesKnown({ pool, reportedMembers, leading }: PoolEntry): void {
     if (!leading) return;
     const { cluster } = this.#options;
     const others = cluster.serving().filter(({ id }) => id !== cluster.selfId);
-    if (others.length > 0 && others.every(({ id }) => told.has(id))) pool?.usesKnown();
+    if (others.length > 0 && others.every(({ id }) => reportedMembers.has(id))) pool?.usesKnown();
   }
 
   onRateLimit(params: unknown): void {
@@ -104,7 +110,10 @@
     this.#pools.get(params.pool)?.pool?.release(params.requestId, params.outcome);
   }
 
-  /** A node whose connection ended can't tell any more when its requests end. */
+  /**
+   * Releases everything held for a node whose connection ended, as it can't report any more when its requests
+   * end.
+   */
   onPeerClosed(peer: PeerConnection): void {
     for (const { pool, requestId } of this.#peerUses.takeAll(peer)) {
       this.#pools.get(pool)?.pool?.cancel(requestId);
--- a/packages/gateway/src/cluster/slot-protocol.ts
+++ b/packages/gateway/src/cluster/slot-protocol.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 import type { RunningUse, SlotDecision, SlotRequest, UseOutcome } from '@canvasridge/slots';
 
-/** JSON-RPC methods by which nodes ask the leader of a pool for slots. */
+/** JSON-RPC methods by which nodes request slots from the leader of a pool. */
 export const ACQUIRE_METHOD = 'slots.acquire';
 export const DECIDED_METHOD = 'slots.decided';
 export const CANCEL_METHOD = 'slots.cancel';
@@ -10,7 +10,10 @@
 export const RELEASE_METHOD = 'slots.release';
 export const RATE_LIMIT_METHOD = 'slots.rate-limit';
 
-/** Params of {@link ACQUIRE_METHOD}. The answer is a {@link AcquireReply}; a queued one is decided later. */
+/**
+ * Params of {@link ACQUIRE_METHOD}. The answer is an {@link AcquireReply}; the decision on a queued request
+ * follows later.
+ */
 export interface AcquireParams {
   readonly pool: string;
   readonly request: SlotRequest;
@@ -21,7 +24,7 @@
   | { readonly kind: 'queued' }
   | { readonly kind: 'not-leader' };
 
-/** Params of {@link STARTED_METHOD}: engines have begun to answer these requests. */
+/** Params of {@link STARTED_METHOD}: engines have started to answer these requests. */
 export interface StartedParams {
   readonly pool: string;
   readonly requestIds: readonly string[];
@@ -30,7 +33,7 @@
 /** Params of {@link USES_METHOD}: what the sender runs on the engines of a pool that has a new leader. */
 export interface UsesParams {
   readonly pool: string;
-  /** The node that tells; it does so also when it runs nothing. */
+  /** The reporting node; it also reports when it runs nothing. */
   readonly member: string;
   readonly uses: readonly RunningUse[];
 }
@@ -39,20 +42,26 @@
   readonly pool: string;
   readonly requestId: string;
   readonly outcome: UseOutcome;
-  /** The engine of the request, where it has told the sender that it leaves and its entry does not say so yet. */
+  /**
+   * The engine of the request, if it has told the sender that it is leaving and its entry does not say so
+   * yet.
+   */
   readonly leaving?: string;
 }
 
-/** Params of {@link RATE_LIMIT_METHOD}: an engine has named to the sender how many requests it takes from all nodes together. */
+/**
+ * Params of {@link RATE_LIMIT_METHOD}: an engine has told the sender how many requests it accepts from all
+ * nodes together.
+ */
 export const rateLimitParams = z.object({
   pool: z.string(),
   backendId: z.string(),
-  /** Requests a second; null where it names no limit any more. */
+  /** Requests a second; null if the engine no longer states a limit. */
   perSecond: z.number().nonnegative().nullable(),
 });
 export type RateLimitParams = z.infer<typeof rateLimitParams>;
 
-/** What a request that is not wanted any more is told; nobody reads it. */
+/** The decision for a request that was cancelled; no caller reads it. */
 export function cancelledDecision(requestId: string): SlotDecision {
   return { kind: 'refused', requestId, reason: 'stopping', retryAfterMs: 0 };
 }
--- a/packages/gateway/src/cluster/slot-service.ts
+++ b/packages/gateway/src/cluster/slot-service.ts
@@ -18,11 +18,11 @@
 import { rateLimitRule, type BackendRateLimits } from '../backends/backend-rate-limits.js';
 import type { SlotSource } from '../backends/slot-picker.js';
 import type { Cluster } from './cluster.js';
-import { FormerLeader, type LeaderSight } from './former-leader.js';
+import { FormerLeader, type LeaderLiveness } from './former-leader.js';
 import { HANDOVER_MS, OrderPermission, type EngineFences } from './order-permission.js';
 import { OwnUses } from './own-uses.js';
 import type { PoolEntry } from './pool-entry.js';
-import { RateLimitNews } from './rate-limit-news.js';
+import { RateLimitReporter } from './rate-limit-reporter.js';
 import { RemoteSlots, type LeaderConnection, type LeaderNetwork } from './remote-slots.js';
 import { SlotAnswers } from './slot-answers.js';
 import {
@@ -37,66 +37,85 @@
   type UsesParams,
 } from './slot-protocol.js';
 
-/** Period in which a node looks at members and claims that hands out slots, is next to do so, or knows no leader. */
+/**
+ * Period in which a node checks members and leadership claims if it leads a pool, is next to lead one, or
+ * knows of a pool without a leader.
+ */
 const TICK_MS = 100;
 /**
- * The same for all others, which are woken by changes: of a fleet of hundreds nearly all have nothing to do with slots,
- * and a weak machine spends most of its processor time on waking up.
+ * The same period for all other nodes, which changes wake up earlier: in a fleet of hundreds nearly all nodes
+ * have nothing to do with slots, and on a weak machine frequent wake-ups take most of the processor time.
  */
 const IDLE_TICK_MS = 400;
-/** Beginnings of answers within this time are told together: each message costs both nodes processor time. */
-const STARTED_DELAY_MS = 12;
-const MOST_LEADERS_ASKED = 3;
-/** A leader that sent something within this time is there: under load it sends several messages in it. */
-const HEARD_LATELY_MS = 600;
 /**
- * Time in which a pool without a leader gets the next one, nearly always: the first candidate claims it after 150 ms, and
- * gossip brings that to all nodes within two periods; after a loss of all, the candidates come back one after the other.
+ * Starts of answers within this time are reported in one message: each message costs both nodes processor
+ * time.
+ */
+const STARTED_BATCH_MS = 12;
+const MAX_LEADERS_ASKED = 3;
+/**
+ * A leader that sent something within this time counts as reachable: under load it sends several messages in
+ * it.
+ */
+const HEARD_RECENTLY_MS = 600;
+/**
+ * Time within which a pool without a leader nearly always gets the next one: the first candidate claims it
+ * after 150 ms, and gossip brings that to all nodes within two periods; after a loss of all nodes, the
+ * candidates return one after the other.
  */
 const ELECTION_MS = 800;
-/** A request that is older than this part of its objective could not begin in time any more. */
-const LATEST_START_SHARE = 0.7;
-/** For a while after their start the first few candidates observe, as any of them may soon have to lead. */
-const YOUNG_MS = 8000;
-const YOUNG_OBSERVERS = 3;
-/** Until a node has known others for so long, each of a fleet that starts together takes itself for one of the first. */
-const RANKED_AFTER_MS = 150;
-/** A node that meets no other within this time after its start observes all the same. */
-const UNMET_AFTER_MS = 1000;
-
-/** Leads the pools that fall to this node, and asks other nodes for slots of the pools that they lead. */
+/** A request older than this fraction of its objective can no longer start in time. */
+const LATEST_START_FRACTION = 0.7;
+/**
+ * For this long after its start a node observes a pool if it is among the first few candidates, as any of
+ * them may soon have to lead.
+ */
+const STARTUP_MS = 8000;
+const STARTUP_OBSERVERS = 3;
+/**
+ * Until a node has known others for this long, it may rank itself among the first candidates, as every node
+ * of a fleet that starts together does.
+ */
+const RANKING_SETTLE_MS = 150;
+/** A node that meets no other node within this time after its start observes pools anyway. */
+const NO_PEERS_AFTER_MS = 1000;
+
+/**
+ * Leads the pools for which this node is elected, and requests slots of all other pools from the nodes that
+ * lead them.
+ */
 export class SlotService implements SlotSource {
   readonly #options: SlotServiceOptions;
   readonly #pools = new Map<string, PoolEntry>();
-  readonly #asked: RemoteSlots;
+  readonly #remoteSlots: RemoteSlots;
   readonly #uses: OwnUses;
-  readonly #rateLimitNews: RateLimitNews;
-  /** Answers to other nodes that take this one for the leader of a pool. */
+  readonly #rateLimitReporter: RateLimitReporter;
+  /** Handles requests of other nodes that consider this one the leader of a pool. */
   readonly answers: SlotAnswers;
   readonly #memory = new AdapterMemory();
   readonly #leaderChanged = new Notifier();
   readonly #permission: OrderPermission;
-  /** By pool: requests whose answers have begun and whose leader is not told yet. */
-  readonly #startedToTell = new Map<string, string[]>();
+  /** By pool: requests whose answers have started, which has not been reported to the leader yet. */
+  readonly #unreportedStarts = new Map<string, string[]>();
   readonly #startedMs: number;
   #stopped = false;
   #resigned = false;
 
   constructor(options: SlotServiceOptions) {
     this.#options = options;
-    this.#asked = new RemoteSlots(options.clock, options.network, (address) =>
+    this.#remoteSlots = new RemoteSlots(options.clock, options.network, (address) =>
       options.cluster.checkPeer(address),
     );
     this.#uses = new OwnUses(options.clock);
-    this.#rateLimitNews = new RateLimitNews({
+    this.#rateLimitReporter = new RateLimitReporter({
       rateLimits: options.rateLimits,
-      tell: (backendId, perSecond) => this.#tellRateLimit(backendId, perSecond),
+      tell: (backendId, perSecond) => this.#reportRateLimit(backendId, perSecond),
     });
     const { fleet, cluster } = options;
     this.answers = new SlotAnswers({ fleet, cluster, pools: this.#pools });
     this.#permission = new OrderPermission({
       ...options,
-      onDoubt: (reason) => {
+      onStateUncertain: (reason) => {
         for (const entry of this.#pools.values()) entry.pool?.resetLeases(reason);
       },
       onSuspended: () => {
@@ -111,7 +130,7 @@
     void this.#run();
   }
 
-  /** Gives up all pools and takes no other; slots can still be asked for. */
+  /** Gives up all pools and leads no other one; slots can still be requested. */
   resign(): void {
     this.#resigned = true;
     this.#permission.resign();
@@ -125,19 +144,19 @@
     this.#stopped = true;
   }
 
-  /** Whether this node leads a pool or observes one since it may have to. */
+  /** Whether this node leads a pool, or observes one because it may have to lead it. */
   get takesPart(): boolean {
     for (const { pool } of this.#pools.values()) if (pool !== undefined) return true;
     return false;
   }
 
-  /** Names of the nodes that lead pools, as far as this one knows. */
+  /** Names of the nodes that lead pools, as far as this node knows. */
   leaders(): ReadonlySet<string> {
     const leaders = [...this.#pools.values()].map(({ leadership }) => leadership.leader);
     return new Set(leaders.filter((leader) => leader !== undefined));
   }
 
-  /** Figures of the pools that this node leads. */
+  /** Statistics of the pools that this node leads. */
   describe(): (PoolFigures & { pool: string })[] {
     const rows = [];
     for (const [pool, entry] of this.#pools)
@@ -145,9 +164,9 @@
     return rows;
   }
 
-  // --- asking ------------------------------------------------------------------------------------
+  // --- requesting slots --------------------------------------------------------------------------
 
-  /** Asks the leader; where that one is just giving its pool up, the next one. */
+  /** Requests a slot from the leader, and from the next leader if that one is giving up the pool. */
   async acquire(
     poolName: string,
     request: SlotRequest,
@@ -160,10 +179,10 @@
       const decision = await this.#acquireOnce(poolName, aged, cancelled);
       if (decision?.kind === 'granted') {
         this.#uses.begin(poolName, request, decision.backendId);
-        this.#rateLimitNews.granted(decision);
+        this.#rateLimitReporter.onGranted(decision);
       }
       const isStopping = decision?.kind === 'refused' && decision.reason === 'stopping';
-      if (!isStopping || cancelled.aborted || asked === MOST_LEADERS_ASKED) return decision;
+      if (!isStopping || cancelled.aborted || asked === MAX_LEADERS_ASKED) return decision;
       await clock.sleep(TICK_MS);
     }
   }
@@ -179,13 +198,17 @@
     if (leader === undefined) return undefined;
     if (entry.pool !== undefined && entry.leading) return this.#acquireHere(entry.pool, request, cancelled);
     const address = this.#options.cluster.peerAddress(leader);
-    return address === undefined ? undefined : this.#asked.acquire(address, poolName, request, cancelled);
+    return address === undefined
+      ? undefined
+      : this.#remoteSlots.acquire(address, poolName, request, cancelled);
   }
 
-  /** The leader, or undefined if none is found in the time of an election, or none in time for the request. */
+  /**
+   * The leader, or undefined if none is found within the duration of an election or in time for the request.
+   */
   async #awaitLeader(entry: PoolEntry, request: SlotRequest): Promise<string | undefined> {
     const { clock } = this.#options;
-    const leftMs = request.objectiveMs * LATEST_START_SHARE - request.ageMs;
+    const leftMs = request.objectiveMs * LATEST_START_FRACTION - request.ageMs;
     const untilMs = clock.now() + Math.min(leftMs, ELECTION_MS);
     while (entry.leadership.leader === undefined && clock.now() < untilMs) {
       await this.#leaderChanged.waitUpTo(clock, untilMs - clock.now());
@@ -193,12 +216,15 @@
     return entry.leadership.leader;
   }
 
-  /** An engine named in an answer to this node how many requests a second it takes; undefined: it does so no more. */
+  /**
+   * An engine stated in an answer to this node how many requests a second it accepts; undefined if it no
+   * longer states a limit.
+   */
   rateLimitHeard(backendId: string, perSecond: number | undefined): void {
-    this.#rateLimitNews.heard(backendId, perSecond);
+    this.#rateLimitReporter.onLimitStated(backendId, perSecond);
   }
 
-  #tellRateLimit(backendId: string, perSecond: number | null): void {
+  #reportRateLimit(backendId: string, perSecond: number | null): void {
     const pool = this.#options.fleet.backend(backendId)?.service;
     const entry = pool === undefined ? undefined : this.#pools.get(pool);
     if (pool === undefined || entry === undefined) return;
@@ -221,23 +247,23 @@
       entry.pool.started(requestId);
       return;
     }
-    const told = this.#startedToTell.get(poolName);
+    const told = this.#unreportedStarts.get(poolName);
     if (told !== undefined) {
       told.push(requestId);
       return;
     }
-    this.#startedToTell.set(poolName, [requestId]);
-    this.#options.clock.setTimer(STARTED_DELAY_MS, () => this.#tellStarted(poolName));
+    this.#unreportedStarts.set(poolName, [requestId]);
+    this.#options.clock.setTimer(STARTED_BATCH_MS, () => this.#reportStarted(poolName));
   }
 
-  #tellStarted(poolName: string): void {
-    const requestIds = this.#startedToTell.get(poolName) ?? [];
-    this.#startedToTell.delete(poolName);
+  #reportStarted(poolName: string): void {
+    const requestIds = this.#unreportedStarts.get(poolName) ?? [];
+    this.#unreportedStarts.delete(poolName);
     const params: StartedParams = { pool: poolName, requestIds };
     this.#leaderConnection(poolName)?.notify(STARTED_METHOD, params);
   }
 
-  /** The connection to a pool's leader, if that is another node that is known. */
+  /** The connection to a pool's leader, if the leader is known and is another node. */
   #leaderConnection(poolName: string): LeaderConnection | undefined {
     const leader = this.#pools.get(poolName)?.leadership.leader;
     const address = leader === undefined ? undefined : this.#options.cluster.peerAddress(leader);
@@ -256,7 +282,8 @@
       backendId !== undefined &&
       fleet.hasAnnounced(backendId) &&
       fleet.unlistedDepartures(poolName).includes(backendId);
-    // Without it the leader orders adapters onto that engine for other nodes until each of them was told.
+    // Without this the leader keeps ordering adapters onto that engine for other nodes until each of them has
+    // been told.
     const leaving = isNews ? { leaving: backendId } : {};
     const params: ReleaseParams = { pool: poolName, requestId, outcome, ...leaving };
     this.#leaderConnection(poolName)?.notify(RELEASE_METHOD, params);
@@ -276,12 +303,12 @@
     });
   }
 
-  /** A decision of another leader about a request that was queued there. */
+  /** Handles the decision of another leader about a request that was queued there. */
   onDecided(decision: SlotDecision): void {
-    this.#asked.onDecided(decision);
+    this.#remoteSlots.onDecided(decision);
   }
 
-  // --- leading -----------------------------------------------------------------------------------
+  // --- leading pools -----------------------------------------------------------------------------
 
   async #run(): Promise<void> {
     const { clock, cluster } = this.#options;
@@ -289,13 +316,13 @@
       const { changes } = cluster;
       this.#tick();
       await clock.sleep(TICK_MS);
-      const mayRest = cluster.changes === changes && !this.#isWatchful();
-      if (mayRest) await cluster.changed.waitUpTo(clock, IDLE_TICK_MS - TICK_MS);
+      const isIdle = cluster.changes === changes && !this.#needsFrequentTicks();
+      if (isIdle) await cluster.changed.waitUpTo(clock, IDLE_TICK_MS - TICK_MS);
     }
   }
 
-  /** Whether this node has a part in a pool, or some pool has no leader that is known. */
-  #isWatchful(): boolean {
+  /** Whether this node leads or observes a pool, or knows of a pool without a leader. */
+  #needsFrequentTicks(): boolean {
     const hasLeaders = [...this.#pools.values()].every(({ leadership }) => leadership.leader !== undefined);
     return this.takesPart || !hasLeaders || this.#pools.size === 0;
   }
@@ -306,7 +333,7 @@
     for (const service of fleet.routes?.configuration.services ?? []) {
       if (service.engine === undefined) continue;
       const entry = this.#entry(service.name);
-      if (entry.leadership.update()) this.#followLeader(service.name, entry);
+      if (entry.leadership.update()) this.#onLeaderChanged(service.name, entry);
       this.#updateRole(entry, service.name);
     }
   }
@@ -316,32 +343,32 @@
     return false;
   }
 
-  #followLeader(pool: string, entry: PoolEntry): void {
+  #onLeaderChanged(pool: string, entry: PoolEntry): void {
     const { leader } = entry.leadership;
-    entry.former.note(leader);
-    this.#rateLimitNews.leaderChanged();
-    this.#tellUses(pool, entry);
-    this.#asked.leaderChanged(
+    entry.formerLeader.recordLeader(leader);
+    this.#rateLimitReporter.leaderChanged();
+    this.#reportUses(pool, entry);
+    this.#remoteSlots.leaderChanged(
       pool,
       leader === undefined ? undefined : this.#options.cluster.peerAddress(leader),
     );
     this.#leaderChanged.notify();
   }
 
-  #leaderSight(): LeaderSight {
+  #leaderLiveness(): LeaderLiveness {
     const { cluster, network } = this.#options;
     return {
       selfId: cluster.selfId,
       processOf: (id) => cluster.processOf(id),
-      heardLately: (id) => {
+      heardRecently: (id) => {
         const address = cluster.peerAddress(id);
-        return address !== undefined && network.heardWithin(address, HEARD_LATELY_MS);
+        return address !== undefined && network.heardWithin(address, HEARD_RECENTLY_MS);
       },
     };
   }
 
-  /** Tells a new leader, or the pool here, what this node runs on the engines. */
-  #tellUses(pool: string, entry: PoolEntry): void {
+  /** Reports to a new leader of a pool, if that is another node, what this node runs on the engines. */
+  #reportUses(pool: string, entry: PoolEntry): void {
     if (entry.leadership.isLeader || this.#options.switchedOff.has('told-uses')) return;
     const params: UsesParams = { pool, member: this.#options.cluster.selfId, uses: this.#uses.of(pool) };
     this.#leaderConnection(pool)?.notify(USES_METHOD, params);
@@ -353,8 +380,8 @@
       const { cluster, clock, telemetry } = this.#options;
       entry = {
         leadership: new PoolLeadership(pool, cluster, clock, telemetry),
-        former: new FormerLeader(this.#leaderSight()),
-        told: new Set(),
+        formerLeader: new FormerLeader(this.#leaderLiveness()),
+        reportedMembers: new Set(),
         pool: undefined,
         leading: false,
         leadingSinceMs: 0,
@@ -365,7 +392,7 @@
     return entry;
   }
 
-  /** Starts, keeps or ends this node's part in a pool. */
+  /** Starts, keeps or ends this node's role in a pool, as leader or observer. */
   #updateRole(entry: PoolEntry, name: string): void {
     const leads = entry.leadership.isLeader;
     if (entry.leading && !leads) this.#endRole(entry);
@@ -388,21 +415,21 @@
 
   #endRole(entry: PoolEntry): void {
     entry.leading = false;
-    entry.told.clear();
+    entry.reportedMembers.clear();
     entry.pool?.close();
     entry.pool = undefined;
   }
 
-  /** Whether this node is next to lead, or started so lately that it may be. */
+  /** Whether this node is next to lead, or started so recently that it may be. */
   #observes(name: string): boolean {
     const { cluster, clock } = this.#options;
     if (this.#resigned) return false;
     const leader = this.#pools.get(name)?.leadership.leader;
     const followers = cluster.candidates(name).filter((id) => id !== leader);
     const ageMs = clock.now() - this.#startedMs;
-    const isYoung = ageMs < YOUNG_MS;
-    if (isYoung && cluster.acquaintedMs < RANKED_AFTER_MS && ageMs < UNMET_AFTER_MS) return false;
-    return followers.slice(0, isYoung ? YOUNG_OBSERVERS : 1).includes(cluster.selfId);
+    const isStartingUp = ageMs < STARTUP_MS;
+    if (isStartingUp && cluster.knownPeersMs < RANKING_SETTLE_MS && ageMs < NO_PEERS_AFTER_MS) return false;
+    return followers.slice(0, isStartingUp ? STARTUP_OBSERVERS : 1).includes(cluster.selfId);
   }
 
   #newPool(name: string, entry: PoolEntry): SlotPool {
@@ -420,7 +447,7 @@
       term: () => entry.leadership.term,
       mayObserve: () => !this.#resigned,
       mayTake: () => permission.mayTake(entry),
-      onForeignOrders: () => permission.noteForeignOrders(entry),
+      onForeignOrders: () => permission.recordForeignOrders(entry),
       mayTakeUnused: () => permission.mayTakeUnused(entry),
       mayTakeAtOnce: () => permission.mayTakeAtOnce(entry),
       memory: this.#memory,
@@ -436,7 +463,7 @@
   #fleetChanged(change: string): void {
     if (change === 'backends') {
       this.#memory.observe(this.#listedBackends());
-      this.#rateLimitNews.retain((id) => this.#options.fleet.backend(id) !== undefined);
+      this.#rateLimitReporter.retain((id) => this.#options.fleet.backend(id) !== undefined);
     }
     for (const [name, { pool }] of this.#pools) {
       if (pool === undefined) continue;
@@ -456,15 +483,15 @@
   }
 }
 
-/** Kept connections to other nodes, and what came over them. */
+/** Persistent connections to other nodes, and when something was last received over them. */
 export interface SlotNetwork extends LeaderNetwork {
-  /** Whether the connection to a node stands and brought something within this time. */
+  /** Whether the connection to a node is open and received something within this time. */
   heardWithin(address: string, spanMs: number): boolean;
 }
 
 export interface SlotServiceOptions {
   readonly clock: Clock;
-  /** Goes on while the machine is suspended. */
+  /** Also advances while the machine is suspended. */
   readonly fleetClock: ContinuousClock;
   readonly random: Random;
   readonly fleet: FleetState;
@@ -476,7 +503,7 @@
   readonly timing: SlotTiming;
   readonly holder: OrderHolder;
   readonly engineFences: EngineFences;
-  /** Parts of the policy that are switched off, for measurements. */
+  /** Parts of the policy that are disabled, for measurements. */
   readonly switchedOff: SwitchedOff;
   readonly telemetry: Telemetry;
 }
--- a/packages/gateway/src/cluster/sole-leader.ts
+++ b/packages/gateway/src/cluster/sole-leader.ts
@@ -1,19 +1,22 @@
-/** What a leader knows of itself; times in milliseconds, on its own clock. */
-export interface LeaderStanding {
+/** A leader's own state; times in milliseconds, on its own clock. */
+export interface LeaderState {
   readonly leadingSinceMs: number;
-  /** When it was last paused or out of sight of the others, and so may have missed that another node leads. */
-  readonly unsureSinceMs: number;
-  /** Whether every member that was seen of late is in sight. */
+  /**
+   * When the leader was last paused or without contact to the others, and so may have missed that another
+   * node leads.
+   */
+  readonly lastDisruptionMs: number;
+  /** Whether every member that was seen recently is visible. */
   readonly seesAll: boolean;
 }
 
 /**
- * Whether a leader has led so long, without a pause and in sight of all, that no other node can still take itself
- * for the leader. Only then may it give orders to an engine that has taken none yet without waiting for a lease: such an
- * engine shows nothing of another holder.
- * @param settledAfterMs the lease, with its margin
+ * Whether a node has led for so long, without a pause and with all members visible, that no other node can
+ * still consider itself the leader. Only then may it give an order without waiting for a lease to an engine
+ * that has received none yet: such an engine shows no sign of another holder.
+ * @param settledAfterMs the lease plus its margin
  */
-export function isSoleLeader(standing: LeaderStanding, nowMs: number, settledAfterMs: number): boolean {
-  const { leadingSinceMs, unsureSinceMs, seesAll } = standing;
-  return seesAll && nowMs - Math.max(leadingSinceMs, unsureSinceMs) > settledAfterMs;
+export function isSoleLeader(standing: LeaderState, nowMs: number, settledAfterMs: number): boolean {
+  const { leadingSinceMs, lastDisruptionMs, seesAll } = standing;
+  return seesAll && nowMs - Math.max(leadingSinceMs, lastDisruptionMs) > settledAfterMs;
 }
--- a/packages/gateway/src/cluster/state-exchange.ts
+++ b/packages/gateway/src/cluster/state-exchange.ts
@@ -2,18 +2,18 @@
 import type { FleetSnapshot, FleetState } from '@canvasridge/serving';
 import type { Telemetry } from '@canvasridge/telemetry';
 import { hasRoom, type WaitingBytes } from './configuration-parts.js';
-import type { ConfigurationFreshness, ToldConfiguration } from './configuration-freshness.js';
+import type { ConfigurationFreshness, AdvertisedConfiguration } from './configuration-freshness.js';
 import type { PeerCaller } from './peer-caller.js';
 
 const CALL_TIMEOUT_MS = 1500;
-/** Pause between two looks at peers while the store gives this node no answers. */
+/** Pause between two polls of peers while the store does not answer this node. */
 const POLL_PERIOD_MS = 600;
 
 export const SNAPSHOT_METHOD = 'fleet.snapshot';
 
-/** Params of {@link SNAPSHOT_METHOD}: what the asking node knows already. */
+/** Params of {@link SNAPSHOT_METHOD}: what the requesting node already knows. */
 export interface SnapshotRequest {
-  /** Era of both revisions; absent from a build that reads none. */
+  /** Store era of both revisions; absent from a build that does not know eras. */
   readonly era?: number | undefined;
   readonly operatorRevision: number;
   /** See {@link FleetState.operatorDigest}. */
@@ -24,14 +24,14 @@
 }
 
 /**
- * What a peer tells: its state, unless the asking node holds the same, and its version of the configuration, which is
- * fetched in parts.
+ * A peer's answer: its state, unless the requesting node holds the same, and its version of the
+ * configuration, which is fetched in parts.
  */
-export interface SnapshotAnswer extends ToldConfiguration {
+export interface SnapshotAnswer extends AdvertisedConfiguration {
   readonly snapshot?: FleetSnapshot;
 }
 
-/** Learns published state from peers while the store is silent. */
+/** Learns the published state from peers while the store does not answer. */
 export class StateExchange {
   readonly #fleet: FleetState;
   readonly #network: PeerCaller;
@@ -41,7 +41,7 @@
   readonly #peers: () => readonly string[];
   readonly #freshness: ConfigurationFreshness;
   readonly #onConfigurationOffered: (version: number, address: string) => void;
-  readonly #lost = new Notifier();
+  readonly #storeLost = new Notifier();
   #sourceAnswers = false;
   #stopped = false;
 
@@ -73,14 +73,14 @@
 
   stop(): void {
     this.#stopped = true;
-    this.#lost.notify();
+    this.#storeLost.notify();
   }
 
-  /** Whether the published state can be read directly at present. */
+  /** Whether the published state can currently be read directly. */
   set sourceAnswers(answers: boolean) {
     if (answers === this.#sourceAnswers) return;
     this.#sourceAnswers = answers;
-    if (!answers) this.#lost.notify();
+    if (!answers) this.#storeLost.notify();
     this.#telemetry.event(answers ? 'info' : 'warn', 'store.dependency', 'store', {
       state: answers ? 'regained' : 'lost',
     });
@@ -88,7 +88,7 @@
 
   async #poll(): Promise<void> {
     while (!this.#stopped) {
-      if (this.#sourceAnswers) await this.#lost.wait();
+      if (this.#sourceAnswers) await this.#storeLost.wait();
       if (this.#stopped) return;
       const peer = this.#random.pick(this.#peers());
       if (peer !== undefined) await this.#ask(peer);
@@ -114,14 +114,14 @@
   }
 }
 
-/** The answer to a peer: without the state if it holds the same, is not behind, or its link is full. */
+/** The answer to a peer: without the state if the peer holds the same or is ahead, or its link is full. */
 export function snapshotFor(
   fleet: FleetState,
   freshness: ConfigurationFreshness,
   known: SnapshotRequest,
   waiting: WaitingBytes,
 ): SnapshotAnswer {
-  const configuration = freshness.told;
+  const configuration = freshness.advertised;
   const { era } = known;
   const hasOperatorNews =
     fleet.operatorDigest !== known.operatorDigest &&
--- a/packages/gateway/src/cluster/state-follower.ts
+++ b/packages/gateway/src/cluster/state-follower.ts
@@ -2,15 +2,15 @@
 import type { BackendListing, FleetState, OperatorState } from '@canvasridge/serving';
 import type { Telemetry } from '@canvasridge/telemetry';
 import { hasRoom, type WaitingBytes } from './configuration-parts.js';
-import type { ConfigurationFreshness, ToldConfiguration } from './configuration-freshness.js';
+import type { ConfigurationFreshness, AdvertisedConfiguration } from './configuration-freshness.js';
 import type { DepartureBudget } from './departure-budget.js';
 import type { PeerCaller } from './peer-caller.js';
 
 export const FOLLOW_METHOD = 'fleet.follow';
 
-/** Params of {@link FOLLOW_METHOD}: what the asking node holds of the published state. */
+/** Params of {@link FOLLOW_METHOD}: what the requesting node holds of the published state. */
 export interface FollowRequest {
-  /** Era of both revisions; absent from a build that reads none. */
+  /** Store era of both revisions; absent from a build that does not know eras. */
   readonly era?: number | undefined;
   readonly backendsRevision: number;
   /** See {@link FleetState.routingDigest}. */
@@ -20,35 +20,44 @@
   readonly operatorDigest: number;
 }
 
-/** What a reader of the store tells a follower. The configuration itself is fetched in parts: `ConfigurationFetcher`. */
-export interface FollowAnswer extends ToldConfiguration {
-  /** Era of the revisions; see {@link FollowRequest}. */
+/**
+ * Answer of a node that reads the store to a follower. The configuration itself is fetched in parts:
+ * `ConfigurationFetcher`.
+ */
+export interface FollowAnswer extends AdvertisedConfiguration {
+  /** Store era of the revisions; see {@link FollowRequest}. */
   readonly era?: number | undefined;
-  /** Time since the reader last heard from the store, in milliseconds; absent if it does not read it. */
+  /**
+   * Time since the reader last heard from the store, in milliseconds; absent if it does not read the store.
+   */
   readonly ageMs?: number;
   /** Revision up to which the reader's list of backends is complete. */
   readonly backendsRevision: number;
-  /** Present if the follower's list differs and is not newer. */
+  /** Present if the follower's list differs and is not newer than the reader's. */
   readonly listing?: BackendListing;
-  /** Present if what the follower holds differs and is not newer. */
+  /** Present if the follower's operator state differs and is not newer than the reader's. */
   readonly operatorState?: OperatorState;
-  /** So much waits to be sent to the follower that nothing was added: the answer says nothing of what the reader holds. */
+  /**
+   * Set if so many bytes already wait to be sent to the follower that no state was added: the answer does not
+   * tell what the reader holds.
+   */
   readonly withheld?: true;
 }
 
-/** Fleets up to this many nodes read the store on each of them. */
+/** In fleets of up to this many nodes every node reads the store. */
 const SMALL_FLEET = 16;
-/** Nodes that read the store for all others of a larger fleet. */
+/** Number of nodes that read the store for all others in a larger fleet. */
 const READERS = 6;
 /**
- * An answer that is on its way is waited for so long, and its reader not asked again meanwhile: what is made anew for each
- * question fills the link on which the answer before is still coming. Other readers are asked after a hedge.
+ * An answer in transit is awaited for this long, and its reader not asked again meanwhile: answers are built
+ * anew for each request, and would fill the link on which the previous answer is still arriving. Other
+ * readers are asked after a hedge delay.
  */
 const CALL_TIMEOUT_MS = 1000;
-/** A node that has just started knows after this time how large the fleet is. */
-const DECIDED_AFTER_MS = 700;
-/** A sender does not wait for readers longer than so many hedges. */
-const SENDER_WAIT_HEDGES = 2;
+/** A node that has just started knows the size of the fleet after this time. */
+const ROLE_KNOWN_AFTER_MS = 700;
+/** A sender waits for readers at most this many hedge delays. */
+const MAX_SENDER_WAIT_HEDGES = 2;
 
 export interface StateFollowerOptions {
   readonly clock: Clock;
@@ -56,38 +65,39 @@
   readonly network: PeerCaller;
   readonly telemetry: Telemetry;
   readonly selfId: string;
-  /** Largest number of nodes seen of late. */
+  /** Largest number of nodes seen recently. */
   readonly nodeCount: () => number;
-  /** Members that serve, ranked alike on all nodes. */
+  /** Members that serve, in a ranking that is the same on all nodes. */
   readonly ranked: () => readonly string[];
   readonly peerAddress: (id: string) => string | undefined;
-  /** Zone of a member, this node included. */
+  /** Zone of a member, which may be this node. */
   readonly zoneOf: (id: string) => string | undefined;
-  /** Whether this node hands out slots or is next to do so, and so needs the whole list. */
+  /** Whether this node leads a pool or is next to lead one, and so needs the whole list. */
   readonly needsWholeState: () => boolean;
   readonly budget: DepartureBudget;
   readonly freshness: ConfigurationFreshness;
   /** A reader has this version of the configuration in force. */
-  readonly onConfigurationOffered: (version: number, address: string, isNear: boolean) => void;
+  readonly onConfigurationOffered: (version: number, address: string, isSameZone: boolean) => void;
 }
 
 /**
- * Decides which nodes read the published state from its store, and keeps the others up to date by asking
- * those. The store bounds its calls over all nodes, so in a large fleet a few read and the rest follow them.
- * A follower goes by how old a reader's list is, and reads itself when it finds none that is recent.
+ * Decides which nodes read the published state from the store, and keeps the other nodes up to date by asking
+ * those. The limit on calls to the store applies to all nodes together, so in a large fleet a few nodes read
+ * it and the rest follow them. A follower checks how old a reader's list is, and reads the store itself when
+ * it finds no reader whose list is recent.
  */
 export class StateFollower {
   readonly #options: StateFollowerOptions;
   readonly #readingBegun = new Notifier();
-  #heardMs = -Infinity;
-  /** Moment up to which the list of backends is known to be complete, on this node's clock. */
+  #storeAnsweredMs = -Infinity;
+  /** Time up to which the list of backends is known to be complete, on this node's clock. */
   #completeMs = -Infinity;
   #startedMs: number;
   #reading = true;
-  #next = 0;
-  /** Questions that are not answered yet, by the reader's id. */
-  readonly #open = new Map<string, Promise<void>>();
-  #lastReaders: { readonly ranked: readonly string[]; readonly readers: readonly string[] } | undefined;
+  #rotation = 0;
+  /** Requests that are not answered yet, by the reader's id. */
+  readonly #pendingAnswers = new Map<string, Promise<void>>();
+  #cachedReaders: { readonly ranked: readonly string[]; readonly readers: readonly string[] } | undefined;
   #refreshing: Promise<void> | undefined;
   #refreshedMs = -Infinity;
   #stopped = false;
@@ -95,7 +105,7 @@
   constructor(options: StateFollowerOptions) {
     this.#options = options;
     this.#startedMs = options.clock.now();
-    this.#next = options.selfId.length;
+    this.#rotation = options.selfId.length;
   }
 
   start(): void {
@@ -112,55 +122,59 @@
   }
 
   /** Resolves once this node reads the store itself. */
-  async untilReading(): Promise<void> {
+  async waitUntilReading(): Promise<void> {
     const { clock } = this.#options;
-    while (!this.#reading || this.#undecidedMs() > 0) {
-      if (this.#reading) await this.#readingBegun.waitUpTo(clock, this.#undecidedMs());
+    while (!this.#reading || this.#roleUndecidedMs() > 0) {
+      if (this.#reading) await this.#readingBegun.waitUpTo(clock, this.#roleUndecidedMs());
       else await this.#readingBegun.wait();
     }
   }
 
   /**
-   * How long this node still reads nothing more than the whole state once, in milliseconds: until it has met the others,
-   * it does not know whether it is one of the readers, and each call counts at the store.
+   * How long this node still limits itself to one read of the whole state, in milliseconds: until it has met
+   * the other nodes, it does not know whether it is one of the readers, and the store counts each call.
    */
-  #undecidedMs(): number {
+  #roleUndecidedMs(): number {
     const { clock, fleet } = this.#options;
     const isWhole = fleet.routes !== undefined && fleet.isListKnown;
-    return isWhole ? this.#startedMs + DECIDED_AFTER_MS - clock.now() : 0;
+    return isWhole ? this.#startedMs + ROLE_KNOWN_AFTER_MS - clock.now() : 0;
   }
 
-  /** Whether this node reads the store only since it finds no reader whose list is recent. */
+  /** Whether this node reads the store only because it finds no reader whose list is recent. */
   get isOrphan(): boolean {
     const { selfId, needsWholeState } = this.#options;
     return this.#reading && this.isLarge && !this.#readers().includes(selfId) && !needsWholeState();
   }
 
-  /** Whether a few nodes read the store for the others. */
+  /** Whether a few nodes read the store for all others. */
   get isLarge(): boolean {
     return this.#options.nodeCount() > SMALL_FLEET;
   }
 
   /**
-   * The store answered this node.
-   * @param asOfMs moment at which the list was complete, not that in which this node worked on the answer: a node that
-   *   others follow and that gets no processor time would vouch for what it has not read yet
+   * Records that the store answered this node.
+   * @param asOfMs time at which the list was complete, rather than when this node processed the answer: a
+   * node that others follow but that gets no processor time would otherwise vouch for entries that it has not
+   * read yet
    */
-  heard(asOfMs: number): void {
-    this.#heardMs = Math.max(this.#heardMs, asOfMs);
+  onStoreAnswered(asOfMs: number): void {
+    this.#storeAnsweredMs = Math.max(this.#storeAnsweredMs, asOfMs);
     this.#completeMs = Math.max(this.#completeMs, asOfMs);
   }
 
-  /** How old the list of backends is: a backend may have said since then that it leaves. Infinite if none is known. */
+  /**
+   * Age of the list of backends: a backend may have announced its departure since then. Infinite if no list
+   * is known.
+   */
   get listAgeMs(): number {
     return this.#options.clock.now() - this.#completeMs;
   }
 
-  /** Answers a follower. */
+  /** Answers a request of a follower. */
   answer(known: FollowRequest, waiting: WaitingBytes): FollowAnswer {
     const { clock, fleet, freshness } = this.#options;
     const { era, backendsRevision } = fleet;
-    const configuration = freshness.told;
+    const configuration = freshness.advertised;
     if (!hasRoom(waiting)) return { era, backendsRevision, ...configuration, withheld: true };
     const hasListing =
       fleet.routingDigest !== known.routingDigest &&
@@ -168,7 +182,7 @@
     const hasOperatorState =
       fleet.operatorDigest !== known.operatorDigest &&
       fleet.operatorReaches({ era: known.era, revision: known.operatorRevision });
-    const ageMs = clock.now() - this.#heardMs;
+    const ageMs = clock.now() - this.#storeAnsweredMs;
     return {
       ...(this.#reading && Number.isFinite(ageMs) ? { ageMs: Math.ceil(ageMs) } : {}),
       era,
@@ -180,18 +194,19 @@
   }
 
   /**
-   * Whether a request that is about to be written has to wait for the readers once more. Not if they were asked a moment ago:
-   * where none knows more, the list stands.
+   * Whether a request that is about to be written has to wait for the readers once more. Not if they were
+   * asked a moment ago: if none of them knows more, the list is used as it is.
    */
   get isListTooOld(): boolean {
     const { clock, budget } = this.#options;
-    const wasAsked = clock.now() - this.#refreshedMs < budget.lastLookMs - budget.sendAgeMs;
-    return this.isLarge && this.listAgeMs > budget.lastLookMs && !wasAsked;
+    const wasAsked = clock.now() - this.#refreshedMs < budget.finalCheckAgeMs - budget.sendAgeMs;
+    return this.isLarge && this.listAgeMs > budget.finalCheckAgeMs && !wasAsked;
   }
 
   /**
-   * Before a request is sent: if the list is so old that a backend may have left unnoticed for too long, asks all
-   * readers and waits a moment for them. Where none knows more, as while the store is away, the list stands.
+   * Called before a request is sent: if the list is so old that a backend may have left unnoticed for too
+   * long, asks all readers and waits a moment for them. If none of them knows more, as during a store outage,
+   * the list is used as it is.
    */
   async refreshIfOld(): Promise<void> {
     const { clock, budget } = this.#options;
@@ -205,7 +220,7 @@
     const { clock, budget, selfId } = this.#options;
     const readers = this.#readers().filter((id) => id !== selfId);
     const answered = Promise.all(readers.map((id) => this.#ask(id)));
-    await Promise.race([answered, clock.sleep(SENDER_WAIT_HEDGES * budget.hedgeMs)]);
+    await Promise.race([answered, clock.sleep(MAX_SENDER_WAIT_HEDGES * budget.hedgeMs)]);
     this.#refreshedMs = clock.now();
     this.#refreshing = undefined;
   }
@@ -214,33 +229,40 @@
     const { clock, budget } = this.#options;
     while (!this.#stopped) {
       const readers = this.#readers();
-      if (this.#mustAsk(readers)) await this.#round(readers.filter((id) => id !== this.#options.selfId));
+      if (this.#mustPoll(readers))
+        await this.#pollReaders(readers.filter((id) => id !== this.#options.selfId));
       this.#setReading(this.#mustRead(readers));
       await clock.sleep(budget.pollMs);
     }
   }
 
-  /** The first ones ranked, but one of each zone before a second one of any: lists are long, and ways between zones dear. */
+  /**
+   * The nodes ranked first, but one of each zone before a second one of any: lists are long, and traffic
+   * between zones is expensive.
+   */
   #readers(): readonly string[] {
     const ranked = this.#options.ranked();
-    if (this.#lastReaders?.ranked !== ranked) {
+    if (this.#cachedReaders?.ranked !== ranked) {
       const { zoneOf } = this.#options;
       const zones = ranked.map((id) => zoneOf(id));
       const firstOfZone = ranked.filter((_, index) => zones.indexOf(zones[index]) === index);
       const others = ranked.filter((id) => !firstOfZone.includes(id));
-      this.#lastReaders = { ranked, readers: [...firstOfZone, ...others].slice(0, READERS) };
+      this.#cachedReaders = { ranked, readers: [...firstOfZone, ...others].slice(0, READERS) };
     }
-    return this.#lastReaders.readers;
+    return this.#cachedReaders.readers;
   }
 
-  /** Readers in the order in which a follower asks them: those of its own zone first, each kind in turn. */
-  #inOrder(readers: readonly string[]): readonly string[] {
+  /**
+   * Readers in the order in which a follower asks them: those of its own zone first, rotated within each
+   * group.
+   */
+  #askingOrder(readers: readonly string[]): readonly string[] {
     const { selfId, zoneOf } = this.#options;
-    this.#next += 1;
+    this.#rotation += 1;
     const zone = zoneOf(selfId);
     const near = readers.filter((id) => zoneOf(id) === zone);
     const far = readers.filter((id) => zoneOf(id) !== zone);
-    return [...rotated(near, this.#next), ...rotated(far, this.#next)];
+    return [...rotated(near, this.#rotation), ...rotated(far, this.#rotation)];
   }
 
   #mustRead(readers: readonly string[]): boolean {
@@ -251,19 +273,25 @@
     return ageMs > budget.orphanedAgeMs;
   }
 
-  /** Followers ask readers; so does a reader of a large fleet that the store turns away, as others may be served. */
-  #mustAsk(readers: readonly string[]): boolean {
+  /**
+   * Followers ask readers; so does a reader of a large fleet whose calls the store rejects, as other readers
+   * may be served.
+   */
+  #mustPoll(readers: readonly string[]): boolean {
     const { selfId, budget } = this.#options;
     if (!this.isLarge) return false;
     return !readers.includes(selfId) || this.listAgeMs > budget.trustedAgeMs;
   }
 
-  /** Asks readers one after another, until one tells news that is recent enough. A silent one is left behind. */
-  async #round(readers: readonly string[]): Promise<void> {
+  /**
+   * Asks readers one after another, until one has news that is recent enough. One that does not answer within
+   * the hedge delay is left pending.
+   */
+  async #pollReaders(readers: readonly string[]): Promise<void> {
     const { clock, budget } = this.#options;
     const completeBeforeMs = this.#completeMs;
-    for (const reader of this.#inOrder(readers)) {
-      if (this.#open.has(reader)) continue;
+    for (const reader of this.#askingOrder(readers)) {
+      if (this.#pendingAnswers.has(reader)) continue;
       const answered = this.#ask(reader);
       await Promise.race([answered, clock.sleep(budget.hedgeMs)]);
       const isNewer = this.#completeMs > completeBeforeMs;
@@ -271,12 +299,12 @@
     }
   }
 
-  /** Asks a reader, unless its answer to the question before is still on its way. */
+  /** Asks a reader, unless its answer to the previous request is still pending. */
   #ask(id: string): Promise<void> {
-    const open = this.#open.get(id);
+    const open = this.#pendingAnswers.get(id);
     if (open !== undefined) return open;
-    const asked = this.#askOnce(id).finally(() => this.#open.delete(id));
-    this.#open.set(id, asked);
+    const asked = this.#askOnce(id).finally(() => this.#pendingAnswers.delete(id));
+    this.#pendingAnswers.set(id, asked);
     return asked;
   }
 
@@ -298,10 +326,10 @@
     const { configurationVersion, configurationAgeMs = Infinity } = answer;
     this.#options.onConfigurationOffered(configurationVersion, address, this.#isNear(id));
     if (answer.operatorState !== undefined) fleet.applyOperatorState(answer.operatorState);
-    // What a reader knows of an earlier era confirms nothing that was written in this one.
+    // A reader's state from an earlier era confirms nothing that was written in the current one.
     if (!fleet.admitEra(answer.era)) return;
     this.#options.freshness.confirm(configurationVersion, askedMs - configurationAgeMs);
-    if (answer.withheld !== true) this.#take(answer, known, askedMs);
+    if (answer.withheld !== true) this.#applyAnswer(answer, known, askedMs);
   }
 
   #isNear(id: string): boolean {
@@ -309,7 +337,7 @@
     return zoneOf(id) === zoneOf(selfId);
   }
 
-  #take(answer: FollowAnswer, known: FollowRequest, askedMs: number): void {
+  #applyAnswer(answer: FollowAnswer, known: FollowRequest, askedMs: number): void {
     const { fleet } = this.#options;
     const { listing, backendsRevision } = answer;
     const isBehind = known.era === fleet.era && backendsRevision < known.backendsRevision;
--- a/packages/gateway/src/peers/line-framing.ts
+++ b/packages/gateway/src/peers/line-framing.ts
@@ -1,16 +1,18 @@
 import type { Socket } from 'node:net';
 
-/** A frame longer than this is no message of a peer. */
-const LONGEST_FRAME_BYTES = 8 * 1024 * 1024;
+/** No message of a peer is longer than this. */
+const MAX_FRAME_BYTES = 8 * 1024 * 1024;
 
-/** Splits what a socket receives into JSON values, one a line. The socket is destroyed on anything else. */
+/**
+ * Splits the data that a socket receives into JSON values, one per line. Anything else destroys the socket.
+ */
 export function readFrames(socket: Socket, receive: (value: unknown) => void): void {
   let rest = '';
   socket.setEncoding('utf8');
   socket.on('data', (text: string) => {
     const lines = (rest + text).split('\n');
     rest = lines.pop() ?? '';
-    if (rest.length > LONGEST_FRAME_BYTES) socket.destroy();
+    if (rest.length > MAX_FRAME_BYTES) socket.destroy();
     for (const line of lines) {
       const value = parseFrame(line);
       if (value === undefined) {
@@ -22,7 +24,7 @@
   });
 }
 
-/** Returns the bytes written, 0 if the socket is gone. */
+/** Returns the number of bytes written, 0 if the socket is closed. */
 export function writeFrame(socket: Socket, value: unknown): number {
   if (socket.destroyed) return 0;
   const frame = Buffer.from(`${JSON.stringify(value)}\n`);
--- a/packages/gateway/src/peers/peer-connection.ts
+++ b/packages/gateway/src/peers/peer-connection.ts
@@ -3,16 +3,16 @@
 import { readFrames, writeFrame } from './line-framing.js';
 import type { PeerTraffic } from './peer-traffic.js';
 
-/** The methods of one side of a connection, by name. Each checks its parameters itself. */
+/** The methods that one side of a connection offers, by name. Each validates its own parameters. */
 export type PeerMethods = Readonly<Record<string, (params: unknown, peer: PeerConnection) => unknown>>;
 
-/** The members of a JSON-RPC message by which its method is known; an answer has only an id. */
+/** The fields of a JSON-RPC message that identify its method; an answer has only an id. */
 interface RpcMessage {
   readonly id?: unknown;
   readonly method?: string;
 }
 
-/** Stands for answers to questions that were not understood. */
+/** Method name counted for answers to requests that were not understood. */
 const UNKNOWN_METHOD = 'unknown';
 
 /** JSON-RPC 2.0 in both directions over one TCP connection between two nodes. */
@@ -21,9 +21,9 @@
   readonly #rpc: JSONRPCServerAndClient;
   readonly #closeListeners = new Set<() => void>();
   readonly #traffic: PeerTraffic;
-  /** Methods of questions of the peer that are not answered yet, by id. */
-  readonly #questions = new Map<unknown, string>();
-  /** Bytes that wait to be sent, as last told to {@link PeerTraffic}. */
+  /** Methods of the peer's requests that are not answered yet, by id. */
+  readonly #pendingRequests = new Map<unknown, string>();
+  /** Bytes waiting to be sent, as last reported to {@link PeerTraffic}. */
   #waitingBytes = 0;
   #closed = false;
   #received = 0;
@@ -42,7 +42,7 @@
     readFrames(socket, (value) => {
       this.#received += 1;
       this.#receivedAtMs = performance.now();
-      this.#noteQuestion(value as RpcMessage);
+      this.#trackRequest(value as RpcMessage);
       this.#rpc.receiveAndSend(value as never).catch(() => undefined);
     });
     socket.on('drain', () => this.#updateWaiting());
@@ -57,7 +57,7 @@
     });
   }
 
-  /** Messages received so far. */
+  /** Number of messages received so far. */
   get received(): number {
     return this.#received;
   }
@@ -71,7 +71,7 @@
     return this.#closed;
   }
 
-  /** Undefined when the peer gave no answer in time, or an error. */
+  /** Undefined when the peer did not answer in time, or answered with an error. */
   async call(method: string, params: unknown, timeoutMs: number): Promise<unknown> {
     if (this.#closed) return undefined;
     try {
@@ -81,7 +81,7 @@
     }
   }
 
-  /** Calls back once when the connection ends. Returns what takes the listener away. */
+  /** Calls the listener once when the connection ends. Returns a function that removes the listener. */
   onClosed(listener: () => void): () => void {
     this.#closeListeners.add(listener);
     return () => this.#closeListeners.delete(listener);
@@ -95,20 +95,20 @@
     this.#socket.destroy();
   }
 
-  /** Bytes written to this peer that the system has not yet taken. */
+  /** Bytes written to this peer that the operating system has not accepted yet. */
   get waitingBytes(): number {
     return this.#socket.writableLength;
   }
 
   #send(message: RpcMessage): void {
-    const method = message.method ?? this.#questions.get(message.id) ?? UNKNOWN_METHOD;
-    if (message.method === undefined) this.#questions.delete(message.id);
+    const method = message.method ?? this.#pendingRequests.get(message.id) ?? UNKNOWN_METHOD;
+    if (message.method === undefined) this.#pendingRequests.delete(message.id);
     this.#traffic.sent(method, writeFrame(this.#socket, message));
     this.#updateWaiting();
   }
 
-  #noteQuestion({ id, method }: RpcMessage): void {
-    if (method !== undefined && id !== undefined) this.#questions.set(id, method);
+  #trackRequest({ id, method }: RpcMessage): void {
+    if (method !== undefined && id !== undefined) this.#pendingRequests.set(id, method);
   }
 
   #updateWaiting(): void {
--- a/packages/gateway/src/peers/peer-network.ts
+++ b/packages/gateway/src/peers/peer-network.ts
@@ -11,12 +11,12 @@
   readonly reason: string;
 }
 
-/** Accepts connections of peers, and keeps one to each peer that is called. */
+/** Accepts connections of peers, and keeps one outgoing connection to each peer that is called. */
 export class PeerNetwork {
   readonly #methods: PeerMethods;
   readonly #outgoing = new Map<string, PeerConnection>();
   readonly #incoming = new Set<Socket>();
-  /** What goes to all peers together. */
+  /** Counts what is sent to all peers together. */
   readonly traffic = new PeerTraffic();
   readonly #onClose: (peer: PeerConnection) => void;
   readonly #onRefused: (address: string) => void;
@@ -74,13 +74,13 @@
     return connection;
   }
 
-  /** Whether the kept connection to a peer stands and brought something within this time. */
+  /** Whether the outgoing connection to a peer is open and received something within this time. */
   heardWithin(address: string, spanMs: number): boolean {
     const connection = this.#outgoing.get(address);
     return connection !== undefined && !connection.closed && connection.silentMs <= spanMs;
   }
 
-  /** Drops the connection to a peer that gave no sign. */
+  /** Drops the connection to a peer that does not respond. */
   drop(address: string): void {
     this.#outgoing.get(address)?.close();
   }
--- a/packages/gateway/src/peers/peer-traffic.ts
+++ b/packages/gateway/src/peers/peer-traffic.ts
@@ -1,4 +1,4 @@
-/** What was sent under one method, answers included. */
+/** What was sent for one method, including answers. */
 export interface MethodTraffic {
   readonly method: string;
   readonly messages: number;
@@ -6,11 +6,14 @@
   readonly largestBytes: number;
 }
 
-/** Counts what this node sends to other nodes, by method, so that a method that takes the links shows in one line. */
+/**
+ * Counts what this node sends to other nodes by method, so that a method that uses up the links shows in one
+ * line.
+ */
 export class PeerTraffic {
   readonly #byMethod = new Map<string, { messages: number; bytes: number; largestBytes: number }>();
   #waitingBytes = 0;
-  #mostWaitingBytes = 0;
+  #maxWaitingBytes = 0;
 
   sent(method: string, bytes: number): void {
     const known = this.#byMethod.get(method) ?? { messages: 0, bytes: 0, largestBytes: 0 };
@@ -20,22 +23,22 @@
     this.#byMethod.set(method, known);
   }
 
-  /** Bytes written to connections and not yet taken by the system, over all peers. */
+  /** Bytes written to connections that the operating system has not accepted yet, for all peers together. */
   get waitingBytes(): number {
     return this.#waitingBytes;
   }
 
-  /** @param bytes by how much what waits for one peer has changed */
+  /** @param bytes change of the bytes that wait for one peer */
   waitingChanged(bytes: number): void {
     this.#waitingBytes += bytes;
-    this.#mostWaitingBytes = Math.max(this.#mostWaitingBytes, this.#waitingBytes);
+    this.#maxWaitingBytes = Math.max(this.#maxWaitingBytes, this.#waitingBytes);
   }
 
   /** Largest {@link waitingBytes} since the last call. */
   takeMostWaitingBytes(): number {
-    const most = this.#mostWaitingBytes;
-    this.#mostWaitingBytes = this.#waitingBytes;
-    return most;
+    const maxBytes = this.#maxWaitingBytes;
+    this.#maxWaitingBytes = this.#waitingBytes;
+    return maxBytes;
   }
 
   /** What was sent since the last call, the most bytes first. */
--- a/packages/gateway/test/followed-fleet.ts
+++ b/packages/gateway/test/followed-fleet.ts
@@ -63,7 +63,7 @@
       this.#at = event.revision;
     }
     this.state.confirmBackends(this.#at);
-    this.follower.heard(asOfMs);
+    this.follower.onStoreAnswered(asOfMs);
   }
 }
 
--- a/packages/gateway/test/former-leader.test.ts
+++ b/packages/gateway/test/former-leader.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
-import { FormerLeader, type LeaderSight } from '../src/cluster/former-leader.js';
+import { FormerLeader, type LeaderLiveness } from '../src/cluster/former-leader.js';
 
-type Process = ReturnType<LeaderSight['processOf']>;
+type Process = ReturnType<LeaderLiveness['processOf']>;
 
-function newSight(): LeaderSight & { process: Process; heard: boolean } {
+function newSight(): LeaderLiveness & { process: Process; heard: boolean } {
   const sight = {
     heard: false,
-    heardLately: () => sight.heard,
+    heardRecently: () => sight.heard,
     selfId: 'self',
     process: { token: 'first', state: 'alive' } as Process,
     processOf: () => sight.process,
@@ -28,7 +28,7 @@
   test(`a former leader that ${name} is ${gone ? 'gone' : 'not gone'}`, (t) => {
     const sight = newSight();
     const former = new FormerLeader(sight);
-    former.note('other');
+    former.recordLeader('other');
     sight.process = now;
     t.is(former.isGone(), gone);
   });
@@ -37,15 +37,15 @@
 test('where no leader was seen, or only this node led, nobody is known to be gone', (t) => {
   const former = new FormerLeader(newSight());
   t.false(former.isGone());
-  former.note(undefined);
-  former.note('self');
+  former.recordLeader(undefined);
+  former.recordLeader('self');
   t.false(former.isGone());
 });
 
 test('a former leader that is believed dead and still sends is not gone', (t) => {
   const sight = newSight();
   const former = new FormerLeader(sight);
-  former.note('other');
+  former.recordLeader('other');
   sight.process = { token: 'first', state: 'dead' };
   sight.heard = true;
   t.false(former.isGone());
--- a/packages/gateway/test/key-lease.test.ts
+++ b/packages/gateway/test/key-lease.test.ts
@@ -104,7 +104,7 @@
       needsWholeState: () => false,
       budget: departureBudget(DRAIN_MS),
       freshness,
-      onConfigurationOffered: (version, address, isNear) => fetcher.offered(version, address, isNear),
+      onConfigurationOffered: (version, address, isSameZone) => fetcher.offered(version, address, isSameZone),
     });
     const node: Node = { id, state, freshness, follower, inTouch: true, frozenUntilMs: 0 };
     this.#network.add(id, MBIT, {
@@ -125,7 +125,7 @@
       if (node.inTouch && askedMs >= node.frozenUntilMs && node.follower.reads) {
         node.state.applyConfiguration(published);
         node.freshness.confirm(published.version, askedMs);
-        node.follower.heard(askedMs);
+        node.follower.onStoreAnswered(askedMs);
       }
       await this.clock.sleep(watchMs);
     }
--- a/packages/gateway/test/large-configuration.test.ts
+++ b/packages/gateway/test/large-configuration.test.ts
@@ -18,7 +18,7 @@
 /** Time within which a configuration has to be in force on every node. */
 const APPLY_MS = 3000;
 /** A node may hold so much for its peers: a small part of a heap of 128 MB. */
-const MOST_WAITING_BYTES = 8 * 1024 * 1024;
+const MAX_WAITING_BYTES = 8 * 1024 * 1024;
 
 function route(index: number, version: number): HttpRoute {
   const name = `route-${index}-${(index * 7919 * version) % 104_729}`;
@@ -62,7 +62,7 @@
   nodes.publish(large);
   await clock.runUntil(3000 + APPLY_MS);
   t.deepEqual(nodes.versions(), new Array(NODES).fill(4));
-  t.true(nodes.mostWaitingBytes() < MOST_WAITING_BYTES, `waited ${nodes.mostWaitingBytes()} bytes`);
+  t.true(nodes.mostWaitingBytes() < MAX_WAITING_BYTES, `waited ${nodes.mostWaitingBytes()} bytes`);
   const wholeCopies = nodes.sentBytes() / documentBytes;
   t.true(wholeCopies < NODES, `sent ${wholeCopies.toFixed(1)} times the configuration`);
 });
@@ -77,7 +77,7 @@
   }
   await clock.runUntil(clock.now() + APPLY_MS);
   t.deepEqual(nodes.versions(), new Array(NODES).fill(9));
-  t.true(nodes.mostWaitingBytes() < MOST_WAITING_BYTES, `waited ${nodes.mostWaitingBytes()} bytes`);
+  t.true(nodes.mostWaitingBytes() < MAX_WAITING_BYTES, `waited ${nodes.mostWaitingBytes()} bytes`);
 });
 
 test('readers that fall silent while they hand out a configuration hold up no follower', async (t) => {
--- a/packages/gateway/test/leader-quorum.test.ts
+++ b/packages/gateway/test/leader-quorum.test.ts
@@ -25,7 +25,7 @@
         if (answered.length < ids.length) await clock.sleep(timeoutMs);
         return answered;
       },
-      onBackInReach: (ids) => state.caughtUpWith.push(ids),
+      onReachableAgain: (ids) => state.caughtUpWith.push(ids),
     }),
     asked: [],
     caughtUpWith: [],
--- a/packages/gateway/test/linked-fleet.ts
+++ b/packages/gateway/test/linked-fleet.ts
@@ -103,7 +103,7 @@
       needsWholeState: () => reads,
       budget: departureBudget(DRAIN_MS),
       freshness: new ConfigurationFreshness(this.#clock, state),
-      onConfigurationOffered: (version, address, isNear) => fetcher.offered(version, address, isNear),
+      onConfigurationOffered: (version, address, isSameZone) => fetcher.offered(version, address, isSameZone),
     });
     const mbit = reads ? READER_MBIT : (FOLLOWER_MBITS[index % FOLLOWER_MBITS.length] ?? READER_MBIT);
     this.#network.add(id, mbit, {
@@ -120,7 +120,7 @@
     for (;;) {
       state.applyConfiguration(this.#published);
       state.confirmOperatorState(this.#published.version);
-      follower.heard(this.#clock.now());
+      follower.onStoreAnswered(this.#clock.now());
       await this.#clock.sleep(READ_PERIOD_MS);
     }
   }
--- a/packages/gateway/test/peer-messages.ts
+++ b/packages/gateway/test/peer-messages.ts
@@ -51,7 +51,7 @@
     }),
     freshness,
   });
-  follower.heard(950);
+  follower.onStoreAnswered(950);
   messages[`${FOLLOW_METHOD} answer`] = follower.answer(NOTHING_KNOWN, NOTHING_WAITS);
   follower.start();
   const exchange = new StateExchange({
--- a/packages/gateway/test/restored-configuration.test.ts
+++ b/packages/gateway/test/restored-configuration.test.ts
@@ -52,12 +52,12 @@
 test('a version is not confirmed once a node has shown a newer one', async (t) => {
   const { clock, state, freshness } = new Node();
   await clock.runUntil(500);
-  freshness.shown(5);
+  freshness.onVersionSeen(5);
   freshness.confirm(3, 400);
   t.is(freshness.ageMs, 100, 'it was the newest until then, as far as is known');
   await clock.runUntil(600);
   freshness.confirm(3, 600);
-  freshness.shown(6);
+  freshness.onVersionSeen(6);
   freshness.confirm(3, 600);
   t.is(freshness.ageMs, 200);
   state.applyConfiguration(configuration(6));
--- a/packages/gateway/test/restored-fleet.ts
+++ b/packages/gateway/test/restored-fleet.ts
@@ -157,7 +157,7 @@
       this.#at.revision = revision;
       this.state.confirmBackends(revision);
     }
-    this.follower.heard(this.#clock.now());
+    this.follower.onStoreAnswered(this.#clock.now());
   }
 
   #apply({ revision, id, value }: Write): void {
