--- a/packages/gateway/test/departures.test.ts
+++ b/packages/gateway/test/departures.test.ts
@@ -1,9 +1,9 @@
-/** Clients that leave before their answer, and nodes that do not know what is served yet. */
+/** Clients that disconnect before their answer, and nodes that do not have a configuration yet. */
 import test from 'ava';
 import { Harness } from './harness.js';
 import { chunk, streamHead, success, type RawAnswer } from './raw-backend.js';
 
-interface Watched {
+interface WatchedBackend {
   readonly answer: RawAnswer;
   /** The request has reached the backend. */
   readonly arrived: Promise<void>;
@@ -11,8 +11,8 @@
   readonly closed: Promise<void>;
 }
 
-/** A backend that begins as told and then works on, until its connection is closed. */
-function working(begin: RawAnswer): Watched {
+/** A backend that starts its answer as given and then keeps workingBackend until its connection is closed. */
+function workingBackend(begin: RawAnswer): WatchedBackend {
   let arrive = (): void => undefined;
   let close = (): void => undefined;
   const arrived = new Promise<void>((resolve) => {
@@ -37,13 +37,15 @@
   ],
 ];
 
-/** With one attempt nothing but the client's departure ends the work; with more, no other backend may be asked. */
+/**
+ * With one attempt only the client's disconnect can end the work; with more, no other backend may be asked.
+ */
 const cases = begins.flatMap(([name, begin]) => [1, 3].map((attempts) => ({ name, begin, attempts })));
 
 for (const { name, begin, attempts } of cases) {
-  test(`a client that leaves ${name} ends the work of its backend, of ${attempts} allowed`, async (t) => {
-    const first = working(begin);
-    const second = working(begin);
+  test(`a client that disconnects ${name} ends the work of its backend, with ${attempts} attempts allowed`, async (t) => {
+    const first = workingBackend(begin);
+    const second = workingBackend(begin);
     const harness = await Harness.start({ kind: 'stream', resumable: true, attempts }, [
       first.answer,
       second.answer,
@@ -57,7 +59,7 @@
   });
 }
 
-test('a node that knows no configuration says that nothing ran, not that there is no route', async (t) => {
+test('a node without a configuration answers that nothing was executed, not that there is no route', async (t) => {
   const harness = await Harness.start(undefined, [(socket, id) => socket.write(success(id, 'answer'))]);
   t.teardown(() => harness.stop());
   const seen = await harness.call('a1');
--- a/packages/gateway/test/directory.test.ts
+++ b/packages/gateway/test/directory.test.ts
@@ -1,4 +1,4 @@
-/** Which nodes callers are sent to. */
+/** Which nodes the directory lists for callers. */
 import { VirtualClock } from '@canvasridge/clock';
 import type { Member } from '@canvasridge/membership';
 import test from 'ava';
@@ -15,74 +15,78 @@
 const STRONG = ['s1', 's2', 's3', 's4'].map((id) => member(id, 1.35));
 const WEAK = ['w1', 'w2', 'w3', 'w4', 'w5'].map((id) => member(id, 0.324));
 
-function named(
+function listed(
   members: readonly Member[],
   leaders: readonly string[] = [],
   busy: readonly string[] = [],
 ): string[] {
-  const sight = { serving: () => members, busy: () => new Set(busy) };
-  const directory = new Directory(sight, () => new Set(leaders));
+  const cluster = { serving: () => members, busy: () => new Set(busy) };
+  const directory = new Directory(cluster, () => new Set(leaders));
   return directory.addresses('a', 'r', 64).map((address) => address.replace(':1', ''));
 }
 
-test('callers are sent to the nodes that can carry most', (t) => {
-  t.deepEqual(named([...WEAK, ...STRONG]), ['s1', 's2', 's3', 's4']);
+test('callers are sent to the nodes with the highest capacity', (t) => {
+  t.deepEqual(listed([...WEAK, ...STRONG]), ['s1', 's2', 's3', 's4']);
 });
 
-test('a node that hands out slots is left out where enough others serve', (t) => {
-  t.deepEqual(named([...WEAK, ...STRONG], ['s2']), ['s1', 's3', 's4']);
+test('a node that leads a pool is left out if enough others serve', (t) => {
+  t.deepEqual(listed([...WEAK, ...STRONG], ['s2']), ['s1', 's3', 's4']);
   const few = STRONG.slice(0, 3);
-  t.deepEqual(named(few, ['s2']), ['s1', 's2', 's3'], 'but not where few do');
+  t.deepEqual(listed(few, ['s2']), ['s1', 's2', 's3'], 'but not if few do');
 });
 
-test('at least three nodes are named if so many serve', (t) => {
-  t.deepEqual(named([...WEAK, ...STRONG.slice(0, 1)]), ['s1', 'w1', 'w2']);
+test('at least three nodes are listed if that many serve', (t) => {
+  t.deepEqual(listed([...WEAK, ...STRONG.slice(0, 1)]), ['s1', 'w1', 'w2']);
 });
 
-test('nodes that are all alike are all named', (t) => {
-  t.is(named(WEAK).length, WEAK.length);
+test('nodes of equal capacity are all listed', (t) => {
+  t.is(listed(WEAK).length, WEAK.length);
 });
 
-test('when one of the strongest is busy, callers are spread over all', (t) => {
-  t.is(named([...WEAK, ...STRONG], [], ['s3']).length, WEAK.length + STRONG.length);
+test('if one of the strongest nodes is busy, callers are spread over all nodes', (t) => {
+  t.is(listed([...WEAK, ...STRONG], [], ['s3']).length, WEAK.length + STRONG.length);
   t.deepEqual(
-    named([...WEAK, ...STRONG], [], ['w3']),
+    listed([...WEAK, ...STRONG], [], ['w3']),
     ['s1', 's2', 's3', 's4'],
-    'a busy weaker one changes nothing',
+    'a busy weaker node changes nothing',
   );
 });
 
-test('a zone of its own comes first', (t) => {
+test("the caller's own zone comes first", (t) => {
   const far = ['f1', 'f2', 'f3', 'f4'].map((id) => member(id, 4, 'b'));
-  t.deepEqual(named([...far, ...WEAK]).sort(), ['w1', 'w2', 'w3', 'w4', 'w5']);
+  t.deepEqual(listed([...far, ...WEAK]).sort(), ['w1', 'w2', 'w3', 'w4', 'w5']);
 });
 
-test('bounds on the fleet are divided so that the nodes named to callers have most of them', (t) => {
+test('fleet-wide limits are divided so that the nodes listed for callers get most of them', (t) => {
   const members = [...STRONG, ...WEAK, member('f1', 1.35, 'b')];
-  const sight = { serving: () => members, busy: () => new Set<string>() };
-  const directory = new Directory(sight, () => new Set());
+  const cluster = { serving: () => members, busy: () => new Set<string>() };
+  const directory = new Directory(cluster, () => new Set());
   t.true(Math.abs(directory.shareOf('s1') - 0.75 / 5) < 1e-9);
   t.true(Math.abs(directory.shareOf('w1') - 0.25 / 5) < 1e-9);
   const sum = members.reduce((total, { id }) => total + directory.shareOf(id), 0);
   t.true(Math.abs(sum - 1) < 1e-9);
-  const alike = new Directory({ ...sight, serving: () => WEAK }, () => new Set());
+  const alike = new Directory({ ...cluster, serving: () => WEAK }, () => new Set());
   t.is(alike.shareOf('w1'), 1 / WEAK.length);
-  const oneLeads = new Directory({ ...sight, serving: () => WEAK }, () => new Set(['w2']));
-  t.is(oneLeads.shareOf('w1'), 1 / WEAK.length, 'a single node that is not named has no more than any');
+  const oneLeads = new Directory({ ...cluster, serving: () => WEAK }, () => new Set(['w2']));
+  t.is(
+    oneLeads.shareOf('w1'),
+    1 / WEAK.length,
+    'a single node that is not listed gets no more than any other',
+  );
   t.is(oneLeads.shareOf('w2'), 1 / WEAK.length);
 });
 
 test('a node that is cut off does not take over the shares of the others', async (t) => {
   const clock = new VirtualClock();
   let members = WEAK;
-  const sight = { serving: () => members, busy: () => new Set<string>() };
-  const share = new FleetShare(clock, new Directory(sight, () => new Set()), 'w1');
+  const cluster = { serving: () => members, busy: () => new Set<string>() };
+  const share = new FleetShare(clock, new Directory(cluster, () => new Set()), 'w1');
   t.is(share.value, 1 / 5);
   members = WEAK.slice(0, 1);
   await clock.runUntil(10_000);
   t.is(share.value, 1 / 5);
   await clock.runUntil(45_000);
-  t.is(share.value, 1, 'but after a while they are taken to be gone');
+  t.is(share.value, 1, 'but after a while the others count as gone');
 });
 
 test('a process whose timers run late for a while is busy, and stays so for a while', async (t) => {
@@ -91,7 +95,7 @@
   const lag = new LoopLag(clock, (busy) => changes.push(busy));
   for (let sample = 0; sample < 50; sample += 1) lag.observe(5);
   lag.observe(100_000);
-  t.deepEqual(changes, [], 'one long pause is no load');
+  t.deepEqual(changes, [], 'one long pause does not count as load');
   for (let sample = 0; sample < 20; sample += 1) lag.observe(60);
   t.deepEqual(changes, [true]);
   lag.start();
--- a/packages/gateway/test/fleet-quarantine.test.ts
+++ b/packages/gateway/test/fleet-quarantine.test.ts
@@ -1,6 +1,7 @@
 /**
- * Nodes of a large fleet, each of which sees one interruption of a request that comes again at another node each time. By
- * when they know of it has a bound: machines have been in touch for some seconds before what they send counts.
+ * Nodes of a large fleet, each of which sees one interruption of a request that is retried at a different
+ * node each time. There is a bound on the time until all nodes know that it is quarantined, which
+ * applies once nodes have been in contact for some seconds.
  */
 import { Telemetry } from '@canvasridge/telemetry';
 import test from 'ava';
@@ -14,7 +15,7 @@
 
 const ONE_WAY_MS = 2;
 const SETTLED_MS = 15_000;
-/** The least time that deployments so far leave to nodes. */
+/** The shortest time that existing deployments allow. */
 const KNOWN_WITHIN_MS = 3000;
 
 class QuarantineFleet {
@@ -68,7 +69,7 @@
     this.clusters.clusters.get(id)?.stop();
   }
 
-  /** Names of running nodes that would still send a request. */
+  /** Names of running nodes that would still send a request to a backend. */
   unaware(fingerprint: string): string[] {
     const running = [...this.nodes].filter(([id]) => !this.#down.has(id));
     return running.filter(([, node]) => node.remainingMs(fingerprint) === undefined).map(([id]) => id);
@@ -91,13 +92,13 @@
   { nodes: 195, lossShare: 0 },
   { nodes: 195, lossShare: 0.03 },
 ]) {
-  test(`${nodes} nodes know of a request in time, ${lossShare} of the datagrams lost`, async (t) => {
+  test(`${nodes} nodes know of a quarantined request in time with ${lossShare} of the datagrams lost`, async (t) => {
     t.timeout(120_000);
     const fleet = new QuarantineFleet(nodes, lossShare, 1);
     await fleet.run(SETTLED_MS);
     for (const [index, id] of ['n7', 'n8', 'n9'].entries())
       void fleet.nodes.get(id)?.interrupted('f', `i${index}`);
-    t.is(fleet.unaware('f').length, nodes, 'nothing is known yet');
+    t.is(fleet.unaware('f').length, nodes, 'no node knows it yet');
     await fleet.run(KNOWN_WITHIN_MS);
     t.deepEqual(fleet.unaware('f'), []);
     t.true(fleet.calls <= 9, `${fleet.calls} calls`);
@@ -105,13 +106,15 @@
 }
 
 /*
- * Seen in a test of whole nodes on a busy machine: a node went on sending a request ten seconds after the others had quarantined it.
+ * Seen in a test of whole nodes on a busy machine: a node kept sending a request ten seconds after the others
+ * had quarantined it.
  *
- * A home publishes its list when that has changed. To see that, it compared the names of quarantined and suspected requests in one
- * line of text without its outer blanks, in which one suspect alone and the same request quarantined alone looked alike.
- * Proved by the records that nodes held at the end: all three homes had the request on their lists, and had published it as a suspect.
+ * A home publishes its list when it has changed. To detect a change, it compared the names of quarantined and
+ * suspected requests joined into one trimmed line of text, in which a single suspect and the same request
+ * quarantined alone looked the same. The records that the nodes held at the end proved it: all three homes
+ * had the request on their lists, and had published it as a suspect.
  */
-test('a request that was suspected for a while is known in time when it is quarantined', async (t) => {
+test('a request that was a suspect for a while is known to all in time when it is quarantined', async (t) => {
   const fleet = new QuarantineFleet(12, 0, 6);
   await fleet.run(SETTLED_MS);
   void fleet.nodes.get('n7')?.interrupted('f', 'i0');
@@ -122,7 +125,7 @@
   t.deepEqual(fleet.unaware('f'), []);
 });
 
-test('it is known in time though two of the three that count end before the last interruption', async (t) => {
+test('a quarantined request is known in time although two of the three homes stop before the last interruption', async (t) => {
   const fleet = new QuarantineFleet(12, 0, 2);
   await fleet.run(SETTLED_MS);
   const [first, second, third] = fleet.homes();
@@ -137,7 +140,7 @@
   t.deepEqual(fleet.unaware('f'), []);
 });
 
-test('it is known though all three that count end before the last interruption, once others have taken their place', async (t) => {
+test('a quarantined request is known although all three homes stop before the last interruption, once others have replaced them', async (t) => {
   const fleet = new QuarantineFleet(12, 0, 3);
   await fleet.run(SETTLED_MS);
   const homes = fleet.homes();
@@ -151,7 +154,7 @@
   t.deepEqual(fleet.unaware('f'), []);
 });
 
-test('a node keeps to what it was told after all that told it have ended', async (t) => {
+test('a node keeps a request quarantined after all homes that published it have stopped', async (t) => {
   const fleet = new QuarantineFleet(12, 0, 4);
   await fleet.run(SETTLED_MS);
   for (const [index, id] of ['n7', 'n8', 'n9'].entries())
@@ -164,11 +167,11 @@
   const quarantined = published.flatMap((list) => list.quarantined);
   t.true(
     quarantined.some(({ fingerprint }) => fingerprint === 'f'),
-    'those in their place tell nodes that start',
+    'the homes that replaced them publish it to nodes that start',
   );
 });
 
-test('a request that a backend runs to its end at another node is suspected no longer', async (t) => {
+test('a request that a backend completes for another node is no longer a suspect', async (t) => {
   const fleet = new QuarantineFleet(12, 0, 5);
   await fleet.run(SETTLED_MS);
   for (let round = 0; round < 4; round += 1) {
@@ -178,10 +181,10 @@
     fleet.nodes.get('n9')?.endedWell('polled');
     await fleet.run(KNOWN_WITHIN_MS);
   }
-  t.is(fleet.unaware('polled').length, 12, 'it is sent by all');
+  t.is(fleet.unaware('polled').length, 12, 'all nodes send it');
 });
 
-test('a node that saw the last interruption knows the verdict before it sends the request again', async (t) => {
+test('a node that saw the last interruption knows that the request is quarantined before it retries it', async (t) => {
   const fleet = new QuarantineFleet(12, 0, 6);
   await fleet.run(SETTLED_MS);
   const homes = fleet.homes();
@@ -202,7 +205,8 @@
   t.true(toldMs < 20, `${toldMs} ms`);
 });
 
-// Guards against refusing for an hour what many callers send alike, as it ran on three backends that ended for another reason.
+// Guards against refusing for an hour a request that many callers send in the same form, because it was
+// running on three backends that failed for another reason.
 test('a request that is served all the time is not kept from backends after three of them end at one moment', async (t) => {
   const fleet = new QuarantineFleet(12, 0, 7);
   await fleet.run(SETTLED_MS);
--- a/packages/gateway/test/fleet-quotas.test.ts
+++ b/packages/gateway/test/fleet-quotas.test.ts
@@ -10,10 +10,10 @@
 } from '../src/index.js';
 
 const RULE = { ratePerSecond: 100, burst: 400 };
-/** Units that a home has at once when it begins: a quarter of the burst. */
+/** Units that a home has available when it starts: a quarter of the burst. */
 const FIRST_UNITS = 100;
 
-/** Nodes that see the same ranking, in virtual time. */
+/** Nodes that see the same ranking of homes, in virtual time. */
 class Nodes {
   readonly clock = new VirtualClock();
   readonly #quotas = new Map<string, FleetQuotas>();
@@ -31,7 +31,7 @@
     return quotas;
   }
 
-  /** Asks a node for so many requests of 10 units at once; gives how many were admitted. */
+  /** Sends this many requests of 10 units to a node at once; returns how many were admitted. */
   async admitted(id: string, count: number): Promise<number> {
     let admitted = 0;
     for (let index = 0; index < count; index += 1) {
@@ -74,14 +74,14 @@
   }
 }
 
-test('what nodes admit together stays within the quota', async (t) => {
+test('the units that all nodes admit together stay within the quota', async (t) => {
   const nodes = new Nodes(['a', 'b', 'c']);
   const counts = await Promise.all(['a', 'b', 'c'].map((id) => nodes.admitted(id, 20)));
   const units = counts.reduce((sum, count) => sum + count, 0) * 10;
   t.true(units >= FIRST_UNITS && units <= FIRST_UNITS + 10, `${units} units`);
 });
 
-test('a node that is not the home lends nothing, and its asker uses its own part of the rate', async (t) => {
+test('a node that is not the home lends nothing, and the borrower uses its own share of the rate', async (t) => {
   const nodes = new Nodes(['a', 'b', 'c']);
   t.is(nodes.get('b').answer({ node: 'c', group: 0, requests: [] }), null);
   nodes.silent.add('a');
@@ -93,11 +93,11 @@
   t.true(later >= 2 && later <= 6, `${later} of a third of 100 units a second`);
 });
 
-test('a node that becomes the home again knows nothing of what another one lent meanwhile', async (t) => {
+test('a node that becomes the home again starts anew, as it does not know what another home lent meanwhile', async (t) => {
   const nodes = new Nodes(['a', 'b']);
   nodes.get('a').update();
   await nodes.clock.runUntil(20_000);
-  t.is(await nodes.admitted('a', 60), 40, 'the whole burst has come');
+  t.is(await nodes.admitted('a', 60), 40, 'the whole burst is available');
   nodes.ranking = ['b', 'a'];
   nodes.get('a').update();
   await nodes.clock.runUntil(60_000);
--- a/packages/gateway/test/followed-fleet.ts
+++ b/packages/gateway/test/followed-fleet.ts
@@ -3,15 +3,15 @@
 import { StateFollower } from '../src/index.js';
 import { BARE_CONFIGURATION, NOTHING_WAITS, followerOptions } from './follower-options.js';
 
-/** Time within which a leaving backend has to get nothing more, as on the large deployments. */
+/** Time within which a leaving backend must stop receiving requests, as in the large deployments. */
 export const DRAIN_MS = 3000;
-/** A removal that may be a lapse takes effect this long after the store's return. */
+/** A removal that may only be an expired entry takes effect this long after the store is back. */
 export const RETURN_MS = 2000;
 /** Time between two heartbeats of a backend. */
 export const HEARTBEAT_MS = 1200;
 const READERS = 6;
 const NODES = 40;
-/** Time from one reading of the store to the next. */
+/** Time between two reads of the store. */
 export const READ_PERIOD_MS = 500;
 
 export function backend(id: string, state: 'ready' | 'draining' = 'ready'): BackendDescription {
@@ -29,11 +29,11 @@
 class Reader {
   readonly state = new FleetState();
   readonly lapses: BackendLapses;
-  /** Whether the store is in reach; if not, nothing tells the node so until its calls time out. */
+  /** Whether the store is reachable; if not, the node does not notice until its calls time out. */
   connected = true;
-  /** How long an answer of the store waits until the node has processor time to work on it. */
-  lateMs = 0;
-  #at = 0;
+  /** How long an answer of the store waits until the node has processor time to process it. */
+  processingDelayMs = 0;
+  #revision = 0;
 
   constructor(
     clock: VirtualClock,
@@ -53,16 +53,16 @@
 
   readonly follower: StateFollower;
 
-  /** Takes over an answer of the store that was made at this moment. */
+  /** Applies an answer that the store made at this time. */
   read(events: readonly StoreEvent[], asOfMs: number): void {
     if (!this.connected) return;
     this.lapses.beginUpdate();
-    for (const event of events.filter(({ revision }) => revision > this.#at)) {
+    for (const event of events.filter(({ revision }) => revision > this.#revision)) {
       if (event.value === undefined) this.lapses.remove(event.revision, event.id);
       else this.state.applyBackend(event.revision, event.value);
-      this.#at = event.revision;
+      this.#revision = event.revision;
     }
-    this.state.confirmBackends(this.#at);
+    this.state.confirmBackends(this.#revision);
     this.follower.onStoreAnswered(asOfMs);
   }
 }
@@ -87,12 +87,12 @@
     for (const [index, reader] of this.readers.entries()) void this.#keepReading(reader, index);
   }
 
-  /** Publishes at this moment; `value` is undefined for an entry that goes. */
+  /** Publishes an entry now; `value` is undefined for a removal. */
   publish(revision: number, id: string, value: BackendDescription | undefined): void {
     this.#events.push({ revision, id, value });
   }
 
-  /** All nodes know what was published; then the follower follows. */
+  /** Waits until all nodes know what was published, then starts the follower. */
   async settle(): Promise<void> {
     await this.clock.runUntil(READ_PERIOD_MS);
     this.own.applyListing(this.readers[0]?.state.listing() ?? this.own.listing());
@@ -100,14 +100,14 @@
     await this.clock.runUntil(2 * READ_PERIOD_MS);
   }
 
-  /** Readers read at different moments. */
+  /** Readers read at different times. */
   async #keepReading(reader: Reader, index: number): Promise<void> {
     await this.clock.sleep(index);
     for (;;) {
       const answer = [...this.#events];
-      const madeMs = this.clock.now();
-      if (reader.lateMs > 0) await this.clock.sleep(reader.lateMs);
-      reader.read(answer, madeMs);
+      const answeredMs = this.clock.now();
+      if (reader.processingDelayMs > 0) await this.clock.sleep(reader.processingDelayMs);
+      reader.read(answer, answeredMs);
       await this.clock.sleep(READ_PERIOD_MS);
     }
   }
--- a/packages/gateway/test/follower-options.ts
+++ b/packages/gateway/test/follower-options.ts
@@ -22,7 +22,10 @@
 
 type Options = ConstructorParameters<typeof StateFollower>[0];
 
-/** Options of a follower among nodes that are ranked as given, each of which is its own peer address. */
+/**
+ * Options of a follower among nodes that are ranked in the given order; each node's id is also its peer
+ * address.
+ */
 export function followerOptions(given: {
   readonly clock: Clock;
   readonly fleet: FleetState;
@@ -30,7 +33,7 @@
   readonly selfId: string;
   readonly drainMs: number;
   readonly zoneOf?: (id: string) => string;
-  /** What the node of an address answers; undefined for silence. */
+  /** Answer of the node at an address; undefined if it does not answer. */
   readonly answer: (address: string, known: FollowRequest) => FollowAnswer | undefined;
 }): Options {
   const { clock, fleet, ids, selfId, drainMs, zoneOf = () => 'z', answer } = given;
--- a/packages/gateway/test/former-leader.test.ts
+++ b/packages/gateway/test/former-leader.test.ts
@@ -3,52 +3,52 @@
 
 type Process = ReturnType<LeaderLiveness['processOf']>;
 
-function newSight(): LeaderLiveness & { process: Process; heard: boolean } {
-  const sight = {
-    heard: false,
-    heardRecently: () => sight.heard,
+function newLiveness(): LeaderLiveness & { process: Process; isHeard: boolean } {
+  const liveness = {
+    isHeard: false,
+    heardRecently: () => liveness.isHeard,
     selfId: 'self',
     process: { token: 'first', state: 'alive' } as Process,
-    processOf: () => sight.process,
+    processOf: () => liveness.process,
   };
-  return sight;
+  return liveness;
 }
 
 const cases: readonly (readonly [name: string, now: Process, gone: boolean])[] = [
   ['is alive', { token: 'first', state: 'alive' }, false],
   ['is suspected, which it may refute', { token: 'first', state: 'suspect' }, false],
-  ['is believed dead', { token: 'first', state: 'dead' }, true],
-  ['said that it stops', { token: 'first', state: 'draining' }, true],
+  ['is considered dead', { token: 'first', state: 'dead' }, true],
+  ['announced that it stops', { token: 'first', state: 'draining' }, true],
   ['has left', { token: 'first', state: 'left' }, true],
   ['was replaced by a new process', { token: 'second', state: 'alive' }, true],
-  ['was forgotten', undefined, true],
+  ['is no longer a known member', undefined, true],
 ];
 
 for (const [name, now, gone] of cases) {
   test(`a former leader that ${name} is ${gone ? 'gone' : 'not gone'}`, (t) => {
-    const sight = newSight();
-    const former = new FormerLeader(sight);
+    const liveness = newLiveness();
+    const former = new FormerLeader(liveness);
     former.recordLeader('other');
-    sight.process = now;
+    liveness.process = now;
     t.is(former.isGone(), gone);
   });
 }
 
-test('where no leader was seen, or only this node led, nobody is known to be gone', (t) => {
-  const former = new FormerLeader(newSight());
+test('if no leader was seen, or only this node led, no former leader is gone', (t) => {
+  const former = new FormerLeader(newLiveness());
   t.false(former.isGone());
   former.recordLeader(undefined);
   former.recordLeader('self');
   t.false(former.isGone());
 });
 
-test('a former leader that is believed dead and still sends is not gone', (t) => {
-  const sight = newSight();
-  const former = new FormerLeader(sight);
+test('a former leader that is considered dead but still sends is not gone', (t) => {
+  const liveness = newLiveness();
+  const former = new FormerLeader(liveness);
   former.recordLeader('other');
-  sight.process = { token: 'first', state: 'dead' };
-  sight.heard = true;
+  liveness.process = { token: 'first', state: 'dead' };
+  liveness.isHeard = true;
   t.false(former.isGone());
-  sight.heard = false;
+  liveness.isHeard = false;
   t.true(former.isGone());
 });
--- a/packages/gateway/test/key-lease.test.ts
+++ b/packages/gateway/test/key-lease.test.ts
@@ -1,7 +1,8 @@
 /**
- * Keys that are withdrawn while nodes are cut off, frozen or slow. The rule: no node runs a request that was sent more
- * than the revocation bound after the withdrawal. The grounds: whoever tells of a configuration says how old its own
- * knowledge is, and a node relies on it for 0.6 of the bound; so no path, however many peers it has, makes it younger.
+ * Keys that are withdrawn while nodes are cut off, frozen or slow. No node may run a request that was sent
+ * more than the revocation bound after the withdrawal. This holds because a node that passes on a
+ * configuration says how old its own knowledge is, and a node relies on it for 0.6 of the bound: no path,
+ * however many peers it leads through, makes the knowledge appear newer.
  */
 import { Random, VirtualClock } from '@canvasridge/clock';
 import { FleetState, type ServingConfiguration } from '@canvasridge/serving';
@@ -37,13 +38,16 @@
   readonly state: FleetState;
   readonly freshness: ConfigurationFreshness;
   readonly follower: StateFollower;
-  /** Whether the store serves it. */
-  inTouch: boolean;
-  /** Stands still: its tasks run, but neither read nor ask. */
+  /** Whether the store answers this node. */
+  isStoreReachable: boolean;
+  /** Until this time the node is frozen: its tasks run, but neither read the store nor ask peers. */
   frozenUntilMs: number;
 }
 
-/** A store and nodes, six of which read it; cut off from the store, from each other, or frozen as the schedule says. */
+/**
+ * A store and nodes, six of which read it; cut off from the store, cut off from each other, or frozen as the
+ * schedule says.
+ */
 class Fleet {
   readonly clock = new VirtualClock();
   readonly nodes: Node[] = [];
@@ -60,7 +64,7 @@
     this.#published = WITHOUT_KEY;
   }
 
-  /** The node reaches no other node, and none reaches it. */
+  /** Cuts the node off from all other nodes, in both directions. */
   cutOff(node: Node): void {
     this.#network.silence(node.id);
   }
@@ -106,7 +110,7 @@
       freshness,
       onConfigurationOffered: (version, address, isSameZone) => fetcher.offered(version, address, isSameZone),
     });
-    const node: Node = { id, state, freshness, follower, inTouch: true, frozenUntilMs: 0 };
+    const node: Node = { id, state, freshness, follower, isStoreReachable: true, frozenUntilMs: 0 };
     this.#network.add(id, MBIT, {
       [FOLLOW_METHOD]: (params, waiting) =>
         isFrozen() ? undefined : follower.answer(params as FollowRequest, waiting),
@@ -122,7 +126,7 @@
     for (;;) {
       const askedMs = this.clock.now();
       const published = this.#published;
-      if (node.inTouch && askedMs >= node.frozenUntilMs && node.follower.reads) {
+      if (node.isStoreReachable && askedMs >= node.frozenUntilMs && node.follower.reads) {
         node.state.applyConfiguration(published);
         node.freshness.confirm(published.version, askedMs);
         node.follower.onStoreAnswered(askedMs);
@@ -132,18 +136,21 @@
   }
 }
 
-/** Plays one schedule; gives when the key was last run for after its withdrawal, and how often calm nodes refused it before. */
-async function play(seed: number): Promise<{ lastRunMs: number; refusedBefore: number }> {
+/**
+ * Runs one schedule; returns when the key was last accepted after its withdrawal, and how many nodes without
+ * a fault refused it before.
+ */
+async function run(seed: number): Promise<{ lastRunMs: number; refusedBefore: number }> {
   const random = new Random(seed);
   const fleet = new Fleet();
   await fleet.clock.runUntil(4000);
   const withdrawnMs = 4000 + Math.floor(random.next() * 3000);
   for (const node of fleet.nodes) {
-    const fate = random.next();
+    const draw = random.next();
     const atMs = withdrawnMs - 1500 + random.next() * 3000;
-    if (fate < 0.25) fleet.clock.setTimer(atMs - 4000, () => (node.inTouch = false));
-    else if (fate < 0.35) fleet.clock.setTimer(atMs - 4000, () => fleet.cutOff(node));
-    else if (fate < 0.5) {
+    if (draw < 0.25) fleet.clock.setTimer(atMs - 4000, () => (node.isStoreReachable = false));
+    else if (draw < 0.35) fleet.clock.setTimer(atMs - 4000, () => fleet.cutOff(node));
+    else if (draw < 0.5) {
       const forMs = 500 + random.next() * 4000;
       fleet.clock.setTimer(atMs - 4000, () => (node.frozenUntilMs = fleet.clock.now() + forMs));
     }
@@ -161,22 +168,22 @@
 
 const SEEDS = Number(process.env['CANVASRIDGE_KEY_LEASE_SEEDS'] ?? 8);
 
-test(`a withdrawn key is run for nowhere after the lease, in ${SEEDS} schedules of cuts and freezes`, async (t) => {
+test(`no node accepts a withdrawn key after the lease, in ${SEEDS} schedules of cuts and freezes`, async (t) => {
   for (let seed = 1; seed <= SEEDS; seed += 1) {
-    const { lastRunMs, refusedBefore } = await play(seed);
-    t.true(lastRunMs <= leaseMs, `seed ${seed}: run ${lastRunMs} ms after the withdrawal`);
-    t.is(refusedBefore, 0, `seed ${seed}: calm nodes refused the key`);
+    const { lastRunMs, refusedBefore } = await run(seed);
+    t.true(lastRunMs <= leaseMs, `seed ${seed}: accepted ${lastRunMs} ms after the withdrawal`);
+    t.is(refusedBefore, 0, `seed ${seed}: nodes without a fault refused the key`);
   }
 });
 
-test('a configuration counts as fresh from the moment at which it was the newest, not from when it came', async (t) => {
+test('the age of a configuration counts from when it was known to be the newest, not from its arrival', async (t) => {
   const clock = new VirtualClock();
   const state = new FleetState();
   const freshness = new ConfigurationFreshness(clock, state);
   t.is(freshness.ageMs, Infinity);
   await clock.runUntil(1000);
   freshness.confirm(2, 400);
-  t.is(freshness.ageMs, Infinity, 'a newer version is known to be in force that is not here');
+  t.is(freshness.ageMs, Infinity, 'a newer version is known that is not in force here');
   await clock.runUntil(1300);
   state.applyConfiguration(WITH_KEY);
   t.is(freshness.ageMs, 900);
--- a/packages/gateway/test/large-configuration.test.ts
+++ b/packages/gateway/test/large-configuration.test.ts
@@ -1,11 +1,13 @@
 /**
- * Incident 14. A configuration of some hundred kilobytes was published in a fleet of 83 nodes. The readers of the store
- * ran out of memory, most nodes still routed by older versions seconds later, and proper requests ended with 404.
+ * Seen in operation: a configuration of some hundred kilobytes was published in a fleet of 83 nodes. The
+ * readers of the store ran out of memory, most nodes still routed by older versions seconds later, and valid
+ * requests ended with 404.
  *
- * Followers were sent the whole configuration as one answer. On a link of 7 to 10 Mbit/s it took longer than a follower
- * waits for an answer, so each follower asked again, of every reader, twice a second; each time the readers made and
- * wrote all of it, and the followers dropped it as an answer to a question given up. Lines of the bytes sent by method
- * proved it, and this test: the followers' links are busy without end, and no follower ever gets the configuration.
+ * Followers were sent the whole configuration as one answer. On a link of 7 to 10 Mbit/s it took longer than
+ * a follower waits for an answer, so each follower asked every reader again, twice a second; each time the
+ * readers built and wrote all of it, and the followers dropped it as the answer to a request that had timed
+ * out. Log lines of the bytes sent by method proved it, and so did this test: the followers' links were
+ * permanently busy, and no follower ever got the configuration.
  */
 import { VirtualClock } from '@canvasridge/clock';
 import type { HttpRoute, ServingConfiguration } from '@canvasridge/serving';
@@ -15,9 +17,9 @@
 const NODES = 83;
 const READERS = 6;
 const ROUTES = 2400;
-/** Time within which a configuration has to be in force on every node. */
+/** Time within which a configuration must be in force on every node. */
 const APPLY_MS = 3000;
-/** A node may hold so much for its peers: a small part of a heap of 128 MB. */
+/** Upper limit of the bytes that a node may queue for its peers: a small part of a heap of 128 MB. */
 const MAX_WAITING_BYTES = 8 * 1024 * 1024;
 
 function route(index: number, version: number): HttpRoute {
@@ -62,12 +64,12 @@
   nodes.publish(large);
   await clock.runUntil(3000 + APPLY_MS);
   t.deepEqual(nodes.versions(), new Array(NODES).fill(4));
-  t.true(nodes.mostWaitingBytes() < MAX_WAITING_BYTES, `waited ${nodes.mostWaitingBytes()} bytes`);
+  t.true(nodes.maxWaitingBytes() < MAX_WAITING_BYTES, `waited ${nodes.maxWaitingBytes()} bytes`);
   const wholeCopies = nodes.sentBytes() / documentBytes;
   t.true(wholeCopies < NODES, `sent ${wholeCopies.toFixed(1)} times the configuration`);
 });
 
-test('configurations in quick succession, each of half a megabyte, leave the newest in force in time', async (t) => {
+test('after configurations of half a megabyte each in quick succession, the newest is in force in time', async (t) => {
   const clock = new VirtualClock();
   const nodes = fleet(clock);
   await clock.runUntil(3000);
@@ -77,10 +79,10 @@
   }
   await clock.runUntil(clock.now() + APPLY_MS);
   t.deepEqual(nodes.versions(), new Array(NODES).fill(9));
-  t.true(nodes.mostWaitingBytes() < MAX_WAITING_BYTES, `waited ${nodes.mostWaitingBytes()} bytes`);
+  t.true(nodes.maxWaitingBytes() < MAX_WAITING_BYTES, `waited ${nodes.maxWaitingBytes()} bytes`);
 });
 
-test('readers that fall silent while they hand out a configuration hold up no follower', async (t) => {
+test('readers that stop answering while they send a configuration delay no follower', async (t) => {
   const clock = new VirtualClock();
   const nodes = fleet(clock);
   await clock.runUntil(3000);
--- a/packages/gateway/test/told-leader.test.ts
+++ b/packages/gateway/test/leaving-in-release.test.ts
@@ -1,4 +1,4 @@
-/** What a node tells the leader of a pool of an engine that told it that it leaves. */
+/** What a node reports to the leader of a pool about an engine that announced to it that it is leaving. */
 import { FleetState } from '@canvasridge/serving';
 import test from 'ava';
 import { SlotAnswers } from '../src/cluster/slot-answers.js';
@@ -9,7 +9,7 @@
 const PEER = {} as PeerConnection;
 const RELEASE = { pool: 'llm', requestId: 'r1', outcome: 'served' };
 
-function releaseWith(told: object): FleetState {
+function stateAfterRelease(extra: object): FleetState {
   const fleet = new FleetState();
   fleet.applyBackend(1, {
     id: 'e1',
@@ -21,16 +21,16 @@
     models: [],
   });
   const answers = new SlotAnswers({ fleet, cluster: {} as Cluster, pools: new Map() });
-  answers.onRelease({ ...RELEASE, ...told } as ReleaseParams, PEER);
+  answers.onRelease({ ...RELEASE, ...extra } as ReleaseParams, PEER);
   return fleet;
 }
 
-test('the leader takes an engine for leaving once a node has told it so with the end of a request', (t) => {
-  t.true(releaseWith({ leaving: 'e1' }).isLeaving('e1'));
+test('the leader considers an engine as leaving once a node has reported that with the end of a request', (t) => {
+  t.true(stateAfterRelease({ leaving: 'e1' }).isLeaving('e1'));
 });
 
-test('a release as a node of an earlier build sends it, and one whose field is of another kind, change nothing', (t) => {
-  for (const told of [{}, { leaving: true }, { leaving: null }, { leaving: { id: 'e1' } }]) {
-    t.false(releaseWith(told).isLeaving('e1'), JSON.stringify(told));
+test('a release as sent by an earlier build, and one whose field has another type, change nothing', (t) => {
+  for (const extra of [{}, { leaving: true }, { leaving: null }, { leaving: { id: 'e1' } }]) {
+    t.false(stateAfterRelease(extra).isLeaving('e1'), JSON.stringify(extra));
   }
 });
--- a/packages/gateway/test/limited-fleet.ts
+++ b/packages/gateway/test/limited-fleet.ts
@@ -1,4 +1,4 @@
-/** Nodes before one backend that names a limit, in virtual time. */
+/** Nodes that send to one backend that states a rate limit, in virtual time. */
 import { QuotaShares } from '@canvasridge/admission';
 import { Random, VirtualClock, hashSeed } from '@canvasridge/clock';
 import { Telemetry } from '@canvasridge/telemetry';
@@ -14,40 +14,43 @@
 export const BACKEND = 'i1';
 export const WINDOW_MS = 4000;
 
-/** How the nodes keep a limit: each by itself, each its part of it, or by units that a home lends, as built. */
-export type Way = 'alone' | 'shares' | 'built';
+/**
+ * How the nodes apply a limit: each node the whole limit (`alone`), each node its share (`shares`), or by
+ * units that a home lends, as implemented (`built`).
+ */
+export type LimitMode = 'alone' | 'shares' | 'built';
 
 interface Node {
   readonly id: string;
   readonly limits: BackendRateLimits;
   readonly rates: FleetQuotas;
-  /** Nodes that it takes for serving, the home first. */
+  /** Nodes that this node considers to be serving, the home first. */
   ranking: readonly string[];
 }
 
-/** Requests that nodes would send to the backend, and those that they do send. */
+/** Sends requests from the nodes to the backend, and records those that the limit lets through. */
 export class LimitedFleet {
   readonly clock = new VirtualClock();
   readonly nodes = new Map<string, Node>();
   readonly sentMs: number[] = [];
-  /** Nodes that answer no other. */
+  /** Nodes that do not answer other nodes. */
   readonly silent = new Set<string>();
   readonly #random: Random;
-  readonly #way: Way;
+  readonly #mode: LimitMode;
 
-  constructor(count: number, seed: number, way: Way = 'built') {
-    this.#way = way;
+  constructor(count: number, seed: number, mode: LimitMode = 'built') {
+    this.#mode = mode;
     this.#random = new Random(hashSeed(`rate-limit-${seed}`));
     const ids = Array.from({ length: count }, (_, index) => `n${index}`);
     for (const id of ids) this.#addNode(id, ids);
   }
 
-  /** All nodes hear of the limit. */
+  /** Tells all nodes of the limit. */
   name(perSecond: number): void {
     for (const { limits } of this.nodes.values()) limits.heard(BACKEND, perSecond, false);
   }
 
-  /** Requests of all nodes for some seconds, so many a second over all of them. */
+  /** Sends requests from random nodes for some seconds, at this total rate. */
   async send(perSecond: number, seconds: number): Promise<void> {
     const untilMs = this.clock.now() + seconds * 1000;
     while (this.clock.now() < untilMs) {
@@ -60,8 +63,8 @@
     }
   }
 
-  /** The most requests in any span of the window's length. */
-  get fullest(): number {
+  /** The largest number of requests in any time span of the window's length. */
+  get fullestWindow(): number {
     let most = 0;
     let first = 0;
     for (const [index, atMs] of this.sentMs.entries()) {
@@ -81,7 +84,7 @@
     };
     const limits: BackendRateLimits = new BackendRateLimits({
       clock,
-      admit: (backendId) => (this.#way === 'built' ? rates : shares).admit(backendId, 1),
+      admit: (backendId) => (this.#mode === 'built' ? rates : shares).admit(backendId, 1),
     });
     const rates: FleetQuotas = new FleetQuotas({
       kind: BACKEND_RATES,
@@ -95,7 +98,7 @@
       subjectCount: () => 1,
       fleetShare: () => 1 / ranking.length,
     });
-    const share = this.#way === 'alone' ? 1 : 1 / ranking.length;
+    const share = this.#mode === 'alone' ? 1 : 1 / ranking.length;
     const shares = new QuotaShares({
       clock,
       rules: (backendId) => limits.rule(backendId),
@@ -109,13 +112,13 @@
     const isLost = this.silent.has(peer) || method !== RATE_BORROW_METHOD;
     await this.clock.sleep(isLost ? timeoutMs : 3);
     if (isLost) return undefined;
-    // As it travels: what is undefined is left out.
+    // Encoded as on the wire, which omits undefined values.
     const read = readRateBorrow(JSON.parse(JSON.stringify(params)));
     return read === undefined ? null : this.nodes.get(peer)?.rates.answer(read);
   }
 }
 
-/** The most requests in a window's time. */
+/** The largest number of requests allowed in one window. */
 export function allowed(perSecond: number): number {
   return (1.5 * perSecond * WINDOW_MS) / 1000 + 5;
 }
--- a/packages/gateway/test/link-network.ts
+++ b/packages/gateway/test/link-network.ts
@@ -1,32 +1,36 @@
 import type { VirtualClock } from '@canvasridge/clock';
 import type { PeerCaller, WaitingBytes } from '../src/index.js';
 
-/** Time on the way between two machines, in milliseconds. */
+/** One-way delay between two machines, in milliseconds. */
 const DELAY_MS = 1;
 
-/** What a machine answers, by method. */
+/** A machine's methods, by name. */
 export type LinkMethods = Readonly<Record<string, (params: unknown, waiting: WaitingBytes) => unknown>>;
 
 interface Machine {
   readonly bytesPerMs: number;
   readonly methods: LinkMethods;
-  /** When what was written so far has left, and when what was sent so far has come in. */
+  /**
+   * When everything written so far will have left the machine, and when everything sent to it so far will
+   * have arrived.
+   */
   sentMs: number;
   receivedMs: number;
   waitingBytes: number;
-  mostWaitingBytes: number;
+  maxWaitingBytes: number;
   sentBytes: number;
   alive: boolean;
 }
 
 /**
- * Calls between machines whose links carry so many bytes a millisecond each way, in virtual time. What is written waits
- * at its sender until the links have carried it, and goes on its way also when nobody waits for it any more.
+ * Calls between machines whose links have a limited bandwidth in each direction, in virtual time. What is
+ * written waits at its sender until the links have carried it, and is sent even if nobody waits for it any
+ * more.
  */
 export class LinkNetwork {
   readonly #clock: VirtualClock;
   readonly #machines = new Map<string, Machine>();
-  /** Bytes that wait, by sender and receiver. */
+  /** Bytes that wait to be sent, by sender and receiver. */
   readonly #waiting = new Map<string, number>();
 
   constructor(clock: VirtualClock) {
@@ -39,14 +43,14 @@
       sentMs: 0,
       receivedMs: 0,
       waitingBytes: 0,
-      mostWaitingBytes: 0,
+      maxWaitingBytes: 0,
       sentBytes: 0,
       alive: true,
     };
     this.#machines.set(address, { bytesPerMs, methods, ...idle });
   }
 
-  /** From now on a machine says nothing more, and nothing reaches it. */
+  /** From now on a machine sends nothing, and nothing reaches it. */
   silence(address: string): void {
     this.#get(address).alive = false;
   }
@@ -56,12 +60,12 @@
     return this.#get(address).sentBytes;
   }
 
-  /** Most bytes that waited at a machine to be sent. */
-  mostWaitingBytes(address: string): number {
-    return this.#get(address).mostWaitingBytes;
+  /** Largest number of bytes that waited at a machine to be sent. */
+  maxWaitingBytes(address: string): number {
+    return this.#get(address).maxWaitingBytes;
   }
 
-  /** The calls of a machine. */
+  /** The caller for calls from a machine. */
   callsOf(from: string): PeerCaller {
     return {
       to: (address) => ({
@@ -86,8 +90,8 @@
     const text = JSON.stringify(message);
     const nowMs = this.#clock.now();
     sender.sentMs = Math.max(nowMs, sender.sentMs) + text.length / sender.bytesPerMs;
-    const cameMs = Math.max(nowMs, receiver.receivedMs) + text.length / receiver.bytesPerMs;
-    receiver.receivedMs = Math.max(cameMs, sender.sentMs) + DELAY_MS;
+    const arrivedMs = Math.max(nowMs, receiver.receivedMs) + text.length / receiver.bytesPerMs;
+    receiver.receivedMs = Math.max(arrivedMs, sender.sentMs) + DELAY_MS;
     sender.sentBytes += text.length;
     this.#changeWaiting(from, to, text.length);
     this.#clock.setTimer(receiver.receivedMs - nowMs, () => {
@@ -99,7 +103,7 @@
   #changeWaiting(from: string, to: string, bytes: number): void {
     const sender = this.#get(from);
     sender.waitingBytes += bytes;
-    sender.mostWaitingBytes = Math.max(sender.mostWaitingBytes, sender.waitingBytes);
+    sender.maxWaitingBytes = Math.max(sender.maxWaitingBytes, sender.waitingBytes);
     this.#waiting.set(`${from} ${to}`, this.#waitingFor(from, to) + bytes);
   }
 
--- a/packages/gateway/test/linked-fleet.ts
+++ b/packages/gateway/test/linked-fleet.ts
@@ -14,7 +14,10 @@
 } from '../src/index.js';
 import { LinkNetwork } from './link-network.js';
 
-/** Links of the machines in turn, in Mbit/s; the first ones, the strongest, read the store. */
+/**
+ * Bandwidths assigned to the machines in rotation, in Mbit/s; the first machines have the fastest links and
+ * read the store.
+ */
 const READER_MBIT = 70;
 const FOLLOWER_MBITS = [7, 10, 20];
 const ZONES = 3;
@@ -33,7 +36,10 @@
   readonly first: ServingConfiguration;
 }
 
-/** Nodes on links of a bandwidth, of which the first ones read a store and the others follow them, in virtual time. */
+/**
+ * Nodes on links of limited bandwidth, in virtual time. The first ones read a store and the others follow
+ * them.
+ */
 export class LinkedFleet {
   readonly #clock: VirtualClock;
   readonly #network: LinkNetwork;
@@ -68,9 +74,9 @@
     return this.#ids.reduce((sum, id) => sum + this.#network.sentBytes(id), 0);
   }
 
-  /** Most bytes that waited to be sent at any one node. */
-  mostWaitingBytes(): number {
-    return Math.max(...this.#ids.map((id) => this.#network.mostWaitingBytes(id)));
+  /** Largest number of bytes that waited to be sent at any one node. */
+  maxWaitingBytes(): number {
+    return Math.max(...this.#ids.map((id) => this.#network.maxWaitingBytes(id)));
   }
 
   #idOf(index: number): string {
--- a/packages/gateway/test/loss-in-a-large-fleet.test.ts
+++ b/packages/gateway/test/loss-in-a-large-fleet.test.ts
@@ -1,4 +1,4 @@
-/** How soon all nodes of a large fleet know that one is gone. */
+/** How soon all nodes of a large fleet know that a node is lost. */
 import test from 'ava';
 import { VirtualClusters } from './virtual-clusters.js';
 
@@ -6,7 +6,7 @@
 const ONE_WAY_MS = 1.4;
 const LOSS_SHARE = 0.01;
 const SETTLED_MS = 12_000;
-const LOOK_MS = 100;
+const CHECK_PERIOD_MS = 100;
 
 function fleetOf(seed: number): VirtualClusters {
   const ids = Array.from({ length: NODES }, (_, index) => `node-${index}`);
@@ -19,7 +19,7 @@
   clusters.delete(id);
 }
 
-/** Time until no node takes it to serve any more, in milliseconds. */
+/** Time until no node considers it to be serving any more, in milliseconds. */
 async function untilKnown(
   { clock, clusters }: VirtualClusters,
   id: string,
@@ -27,23 +27,23 @@
 ): Promise<number> {
   const startedMs = clock.now();
   while (clock.now() - startedMs < limitMs) {
-    await clock.runUntil(clock.now() + LOOK_MS);
-    const isBelieved = [...clusters.values()].some((cluster) =>
+    await clock.runUntil(clock.now() + CHECK_PERIOD_MS);
+    const isListed = [...clusters.values()].some((cluster) =>
       cluster.serving().some((member) => member.id === id),
     );
-    if (!isBelieved) break;
+    if (!isListed) break;
   }
   return clock.now() - startedMs;
 }
 
-test(`${NODES} nodes give a lost one no more callers within three seconds, and blame no other`, async (t) => {
+test(`${NODES} nodes stop listing a lost node within three seconds, and no node is considered lost by mistake`, async (t) => {
   t.timeout(120_000);
   const fleet = fleetOf(1);
   await fleet.clock.runUntil(SETTLED_MS);
   const all = [...fleet.clusters.values()];
   t.true(
     all.every((cluster) => cluster.serving().length === NODES),
-    'all know all',
+    'all nodes know all others',
   );
   const times: number[] = [];
   for (const id of ['node-7', 'node-70', 'node-170']) {
--- a/packages/gateway/test/peer-messages.ts
+++ b/packages/gateway/test/peer-messages.ts
@@ -15,7 +15,7 @@
   return { id, service: 'llm', address: '127.0.0.1:1', zone: 'z', state, slots: 4, models: MODELS };
 }
 
-/** A node's state with something of each kind in it. */
+/** A node's state that contains an entry of each kind. */
 export function publishedState(): FleetState {
   const fleet = new FleetState();
   fleet.applyConfiguration(BARE_CONFIGURATION);
@@ -28,7 +28,10 @@
   return fleet;
 }
 
-/** One message of each kind that tells other nodes of the published state, or grants by it, as this build sends it. */
+/**
+ * One message of each kind that carries published state between nodes, or grants a slot based on it, as this
+ * build sends it.
+ */
 export async function peerMessages(): Promise<Record<string, unknown>> {
   const clock = new VirtualClock();
   await clock.runUntil(1000);
@@ -84,7 +87,7 @@
   return JSON.parse(JSON.stringify(messages)) as Record<string, unknown>;
 }
 
-/** What the leader of a pool answers that grants an engine at once. */
+/** The answer of a pool's leader that grants an engine at once. */
 function granted(fleet: FleetState): unknown {
   const decision: SlotDecision = {
     kind: 'granted',
--- a/packages/gateway/test/peer-records.test.ts
+++ b/packages/gateway/test/peer-records.test.ts
@@ -1,4 +1,7 @@
-/** Published records of other shapes, as another build may publish them, count as not published and stop nothing. */
+/**
+ * Published records of another shape, as another build may publish them, count as not published and stop
+ * nothing.
+ */
 import test from 'ava';
 import { VirtualClock } from '@canvasridge/clock';
 import { EventLogger, Telemetry } from '@canvasridge/telemetry';
@@ -13,7 +16,7 @@
 
 const KNOWN = { quarantined: [['print', 4]], suspects: ['other'] };
 
-test('a record as this build publishes it is read, and fields that are not known are passed over', (t) => {
+test('a record of the shape that this build publishes is read, and unknown fields are ignored', (t) => {
   const { reader, lines } = startReader();
   const later = { ...KNOWN, quarantined: [['print', 4, 'later']], level: 2 };
   for (const value of [KNOWN, later]) {
@@ -24,7 +27,7 @@
   t.deepEqual(lines, []);
 });
 
-test('one of another shape counts as not published, and is told of once', (t) => {
+test('a record of another shape counts as not published, and is logged once', (t) => {
   const { reader, lines } = startReader();
   const values: unknown[] = [
     {},
@@ -40,7 +43,7 @@
   t.is(lines.length, values.length);
 });
 
-test('one that was taken back, or is no object at all, is none', (t) => {
+test('a record that was withdrawn, or whose value is not an object, counts as not published', (t) => {
   const { reader, lines } = startReader();
   for (const value of [null, undefined, 'text', 7]) {
     t.is(reader.read(peerRecords.claim, { key: 'lead/llm', owner: 'n2', value }), undefined);
--- a/packages/gateway/test/rate-limit-homes.test.ts
+++ b/packages/gateway/test/rate-limit-homes.test.ts
@@ -1,4 +1,6 @@
-/** The allowance of a backend that names a limit, lent by one node to all that have heard of it, in virtual time. */
+/**
+ * The rate limit that a backend states, lent out by one node to all that have received it, in virtual time.
+ */
 import { VirtualClock } from '@canvasridge/clock';
 import test from 'ava';
 import { BackendRateLimits } from '../src/backends/backend-rate-limits.js';
@@ -13,21 +15,21 @@
   [83, 1.4],
   [83, 16],
 ] as const) {
-  test(`${count} nodes keep a limit of ${perSecond} a second together, and use it`, async (t) => {
+  test(`${count} nodes together stay within a limit of ${perSecond} a second, and use it`, async (t) => {
     for (const seed of SEEDS) {
       const fleet = new LimitedFleet(count, seed);
       fleet.name(perSecond);
       const seconds = 50;
       await fleet.send(perSecond * 4, seconds);
-      t.true(fleet.fullest <= allowed(perSecond), `seed ${seed}: ${fleet.fullest} in 4 s`);
+      t.true(fleet.fullestWindow <= allowed(perSecond), `seed ${seed}: ${fleet.fullestWindow} in 4 s`);
       const used = fleet.sentMs.length / (perSecond * seconds);
-      t.log(`seed ${seed}: fullest ${fleet.fullest} of ${allowed(perSecond)}, used ${used.toFixed(2)}`);
+      t.log(`seed ${seed}: fullest ${fleet.fullestWindow} of ${allowed(perSecond)}, used ${used.toFixed(2)}`);
       t.true(used >= 0.9, `seed ${seed}: ${used} of the limit used`);
     }
   });
 }
 
-test('nodes whose home changes, or is lost, keep the limit all the same', async (t) => {
+test('nodes stay within the limit when their home changes or is lost', async (t) => {
   for (const seed of SEEDS) {
     const fleet = new LimitedFleet(9, seed);
     const { nodes } = fleet;
@@ -35,17 +37,17 @@
     await fleet.send(12, 10);
     fleet.silent.add('n0');
     await fleet.send(12, 1);
-    // They see that it is gone one after another.
+    // The nodes notice one after another that the home is lost.
     for (const node of nodes.values()) {
       node.ranking = node.ranking.slice(1);
       await fleet.send(12, 0.1);
     }
     await fleet.send(12, 10);
-    t.true(fleet.fullest <= allowed(3), `seed ${seed}: ${fleet.fullest} in 4 s`);
+    t.true(fleet.fullestWindow <= allowed(3), `seed ${seed}: ${fleet.fullestWindow} in 4 s`);
   }
 });
 
-test('a node that gets no answer from the home sends nothing there, and no node is left closed for good', async (t) => {
+test('a node without an answer from the home sends nothing to the backend, and all send again once the home answers', async (t) => {
   const fleet = new LimitedFleet(9, 1);
   fleet.name(3);
   fleet.silent.add('n0');
@@ -53,18 +55,18 @@
   const others = fleet.sentMs.length;
   fleet.silent.delete('n0');
   await fleet.send(12, 20);
-  // The home itself goes on meanwhile.
+  // The home itself keeps sending meanwhile.
   t.true(others <= 3 * 20 + 5, `${others} sent`);
   t.true(fleet.sentMs.length - others >= 0.9 * 3 * 20, `${fleet.sentMs.length - others} sent afterwards`);
 });
 
-test('a limit that has ended is forgotten with the first counted answer, and after a minute without any', async (t) => {
+test('a limit that has ended is removed with the first counted answer, and after a minute without an answer', async (t) => {
   const clock = new VirtualClock();
   const limits = new BackendRateLimits({ clock, admit: () => Promise.resolve({ kind: 'admitted' }) });
   limits.heard(BACKEND, 1.4, false);
   limits.heard(BACKEND, 'none', false);
   limits.heard(BACKEND, undefined, true);
-  t.is(limits.perSecond(BACKEND), 1.4, 'a request sent before the limit was named may end after it');
+  t.is(limits.perSecond(BACKEND), 1.4, 'a request sent before the limit was stated may end after it');
   limits.heard(BACKEND, 'none', true);
   t.is(limits.perSecond(BACKEND), undefined);
   limits.heard(BACKEND, 1.4, false);
@@ -72,14 +74,14 @@
   t.is(limits.perSecond(BACKEND), undefined);
 });
 
-test('a backend that takes nothing at all is still asked now and then whether that has ended', async (t) => {
+test('a backend with a limit of zero still receives a request now and then, to find out whether the limit has ended', async (t) => {
   const fleet = new LimitedFleet(9, 1);
   fleet.name(0);
   await fleet.send(10, 40);
-  t.true(fleet.sentMs.length >= 2 && fleet.fullest <= allowed(0), `${fleet.sentMs.length} sent`);
+  t.true(fleet.sentMs.length >= 2 && fleet.fullestWindow <= allowed(0), `${fleet.sentMs.length} sent`);
 });
 
-test('what is no question for units is not answered, whatever it is', (t) => {
+test('params that are not a valid borrow request are rejected', (t) => {
   const request = {
     subject: 'i1',
     needed: [1],
--- a/packages/gateway/test/recorded-messages.test.ts
+++ b/packages/gateway/test/recorded-messages.test.ts
@@ -1,4 +1,7 @@
-/** Messages of landed builds, kept as they were sent: nodes of two builds run beside each other while a fleet is replaced. */
+/**
+ * Messages of released builds, recorded as they were sent: nodes of two builds run side by side while a fleet
+ * is upgraded.
+ */
 import { readFileSync, readdirSync } from 'node:fs';
 import { VirtualClock } from '@canvasridge/clock';
 import { FleetState, type FleetSnapshot } from '@canvasridge/serving';
@@ -10,7 +13,7 @@
 
 const FOLDER = new URL('../../test/recorded/', import.meta.url);
 const BUILDS = readdirSync(FOLDER).map((file) => file.replace('.json', ''));
-/** What differs from one run to the next by its nature, and not by the build. */
+/** Fields whose values differ from run to run rather than from build to build. */
 const FIGURES = /(AgeMs|ageMs|Digest|digest|data|totalBytes)$/;
 
 type Messages = Record<string, unknown>;
@@ -19,7 +22,7 @@
   return JSON.parse(readFileSync(new URL(`${build}.json`, FOLDER), 'utf8')) as Messages;
 }
 
-/** Paths of a message at which a present one lacks what stands there, or holds something else. */
+/** Paths at which the current message lacks a value of the recorded one, or has another value. */
 function differences(then: unknown, now: unknown, path: string): string[] {
   if (typeof then !== typeof now || Array.isArray(then) !== Array.isArray(now)) return [path];
   if (typeof then !== 'object' || then === null) {
@@ -31,13 +34,13 @@
 }
 
 for (const build of BUILDS) {
-  // Guards against a change of a message that nodes of an earlier build do not read.
-  test(`a node of ${build} finds in the messages of this build all that it reads`, async (t) => {
+  // Guards against a change of a message that nodes of an earlier build can't read.
+  test(`the messages of this build contain everything that a node of ${build} reads`, async (t) => {
     t.deepEqual(differences(recorded(build), await peerMessages(), ''), []);
   });
 
-  // Guards against taking two equal lists for different ones, which are then sent for ever.
-  test(`digests of the same state are those of ${build}`, async (t) => {
+  // Guards against treating two equal lists as different, so that they would be sent again and again.
+  test(`digests of the same state are equal to those of ${build}`, async (t) => {
     const [then, now] = [recorded(build), await peerMessages()].map(
       (messages) => messages['fleet.follow params'] as Record<string, unknown>,
     );
@@ -45,7 +48,7 @@
     t.is(now?.['operatorDigest'], then?.['operatorDigest']);
   });
 
-  test(`a follower takes what a reader of ${build} answers`, async (t) => {
+  test(`a follower applies the answer of a reader of ${build}`, async (t) => {
     const clock = new VirtualClock();
     const fleet = new FleetState();
     fleet.enterEra(1);
@@ -69,7 +72,7 @@
     t.true(Number.isFinite(follower.listAgeMs));
   });
 
-  test(`a node that lost the store takes the snapshot and the configuration of ${build}`, (t) => {
+  test(`a node without the store applies the snapshot and the configuration of ${build}`, (t) => {
     const messages = recorded(build);
     const { snapshot } = messages['fleet.snapshot answer'] as { snapshot: FleetSnapshot };
     const fleet = new FleetState();
--- a/packages/gateway/test/remote-slots.test.ts
+++ b/packages/gateway/test/remote-slots.test.ts
@@ -5,7 +5,7 @@
 
 const LEADER = '10.0.0.1:1';
 
-/** A leader that queues all that it is asked for. */
+/** A leader that queues every request. */
 class QueueingLeader implements LeaderConnection {
   readonly notified: string[] = [];
   received = 0;
@@ -64,7 +64,7 @@
   return { leader, slots, decisions, settle };
 }
 
-test('what waits for a leader whose connection ends asks again', async (t) => {
+test('a request queued at a leader whose connection ends is told to ask again', async (t) => {
   const { leader, decisions, settle } = await ask();
   t.deepEqual(decisions, []);
   leader.close();
@@ -72,7 +72,7 @@
   t.like(decisions[0], { kind: 'refused', reason: 'stopping' });
 });
 
-test('what waits for a leader that was replaced is cancelled there and asks again', async (t) => {
+test('a request queued at a leader that was replaced is cancelled there and told to ask again', async (t) => {
   const { leader, slots, decisions, settle } = await ask();
   slots.leaderChanged('llm', LEADER);
   await settle();
@@ -93,8 +93,8 @@
 });
 
 for (const { name, received, drops } of [
-  { name: 'a leader that is silent is dropped', received: 0, drops: 1 },
-  { name: 'a leader that is slow but sends other things is kept', received: 3, drops: 0 },
+  { name: 'the connection to a leader that sends nothing is dropped', received: 0, drops: 1 },
+  { name: 'the connection to a slow leader that sends other messages is kept', received: 3, drops: 0 },
 ]) {
   test(name, async (t) => {
     const clock = new VirtualClock();
--- a/packages/gateway/test/restored-configuration.test.ts
+++ b/packages/gateway/test/restored-configuration.test.ts
@@ -3,7 +3,7 @@
 import test from 'ava';
 import { ConfigurationFreshness } from '../src/index.js';
 
-/** Time for which a store that came back from a copy may lack what operators wrote. */
+/** Time for which a store that was restored from a copy may lack what operators wrote. */
 const RETURN_MS = 2000;
 
 function configuration(version: number): ServingConfiguration {
@@ -24,8 +24,8 @@
   }
 }
 
-// Guards against keys of a configuration whose successor the publishing store took and lost.
-test('a store that came back from a copy confirms the version in force only when the lost one must be written again', async (t) => {
+// Guards against accepting keys of a configuration whose successor the store accepted and then lost.
+test('a store restored from a copy confirms the version in force only after the time by which a lost one is written again', async (t) => {
   const { clock, state, freshness } = new Node();
   await clock.runUntil(1000);
   state.enterEra(2);
@@ -39,7 +39,7 @@
   t.is(freshness.ageMs, 0);
 });
 
-test('a version that is newer than the one in force at the return is confirmed at once', async (t) => {
+test('a version newer than the one in force at the restore is confirmed at once', async (t) => {
   const { clock, state, freshness } = new Node();
   await clock.runUntil(1000);
   state.enterEra(2);
@@ -48,13 +48,14 @@
   t.is(freshness.ageMs, 0);
 });
 
-// Guards against a node that reads an older configuration, as from a copy, while others have a newer one in force.
-test('a version is not confirmed once a node has shown a newer one', async (t) => {
+// Guards against a node that reads an older configuration, for example from a copy, while others have a newer
+// one in force.
+test('a version is not confirmed once a node has announced a newer one', async (t) => {
   const { clock, state, freshness } = new Node();
   await clock.runUntil(500);
   freshness.onVersionSeen(5);
   freshness.confirm(3, 400);
-  t.is(freshness.ageMs, 100, 'it was the newest until then, as far as is known');
+  t.is(freshness.ageMs, 100, 'it was the newest until then, as far as this node knows');
   await clock.runUntil(600);
   freshness.confirm(3, 600);
   freshness.onVersionSeen(6);
--- a/packages/gateway/test/restored-fleet.ts
+++ b/packages/gateway/test/restored-fleet.ts
@@ -3,16 +3,16 @@
 import { StateFollower } from '../src/index.js';
 import { BARE_CONFIGURATION, NOTHING_WAITS, followerOptions } from './follower-options.js';
 
-/** Time within which a leaving backend has to get nothing more. */
+/** Time within which a leaving backend must stop receiving requests. */
 export const DRAIN_MS = 3000;
-/** Time between two heartbeats of a backend, and after which its entry goes without one. */
+/** Time between two heartbeats of a backend; its entry is removed after three of them are missing. */
 export const HEARTBEAT_MS = 1200;
-const LAPSE_MS = 3 * HEARTBEAT_MS;
+const ENTRY_EXPIRY_MS = 3 * HEARTBEAT_MS;
 const READERS = 6;
 const READ_PERIOD_MS = 500;
-const LONGEST_ABSENCE_MS = 4000;
-const OLDEST_COPY_MS = 6000;
-const LONGEST_REWRITE_MS = 1500;
+const MAX_OUTAGE_MS = 4000;
+const MAX_COPY_AGE_MS = 6000;
+const MAX_REWRITE_DELAY_MS = 1500;
 const SMALL_FLEET = 16;
 
 export function backend(id: string, state: 'ready' | 'draining', slots = 4): BackendDescription {
@@ -26,14 +26,14 @@
   readonly value: BackendDescription | undefined;
 }
 
-/** The publishing store in virtual time: it can be away, and come back from a copy. */
+/** The publishing store in virtual time: it can be unavailable, and be restored from a copy. */
 export class RestoredStore {
   era = 1;
-  isAway = false;
-  /** When it was away last, or came back. */
-  troubledMs = -Infinity;
+  isUnavailable = false;
+  /** When it was last unavailable or restored. */
+  lastTroubleMs = -Infinity;
   #writes: Write[] = [];
-  /** The last write of each writer, whether it was lost since or not. */
+  /** The last write of each writer, even if the store lost it. */
   readonly #intended = new Map<string, BackendDescription | undefined>();
   readonly #clock: VirtualClock;
   readonly #random: Random;
@@ -47,9 +47,9 @@
     return this.#writes.at(-1)?.revision ?? 0;
   }
 
-  /** Resolves once the store has taken the write. */
+  /** Resolves once the store has accepted the write. */
   async write(id: string, value: BackendDescription | undefined): Promise<void> {
-    while (this.isAway) await this.#clock.sleep(100);
+    while (this.isUnavailable) await this.#clock.sleep(100);
     this.#intended.set(id, value);
     this.#writes.push({ id, value, revision: this.revision + 1 });
   }
@@ -58,7 +58,7 @@
     return this.#writes.filter((write) => write.revision > revision);
   }
 
-  /** All entries that stand in the store. */
+  /** All entries that the store currently holds. */
   entries(): readonly Revised<BackendDescription>[] {
     const last = new Map(this.#writes.map((write) => [write.id, write]));
     return [...last.values()].flatMap(({ revision, value }) =>
@@ -66,45 +66,51 @@
     );
   }
 
-  /** Is away for a moment and comes back from a copy; its writers write again what is lost. */
+  /** Becomes unavailable for a moment and is restored from a copy; its writers write again what was lost. */
   async restore(isAlive: (id: string) => boolean): Promise<void> {
     const copy = [...this.#writes];
-    await this.#clock.sleep(this.#random.next() * OLDEST_COPY_MS);
-    this.isAway = true;
-    await this.#clock.sleep(this.#random.next() * LONGEST_ABSENCE_MS);
+    await this.#clock.sleep(this.#random.next() * MAX_COPY_AGE_MS);
+    this.isUnavailable = true;
+    await this.#clock.sleep(this.#random.next() * MAX_OUTAGE_MS);
     this.#writes = copy;
     this.era += 1;
-    this.isAway = false;
-    this.troubledMs = this.#clock.now();
-    for (const { value } of this.entries()) if (!isAlive(value.id)) void this.#lapse(value.id, isAlive);
-    for (const id of this.#random.shuffle([...this.#intended.keys()])) void this.#writeAgain(id);
+    this.isUnavailable = false;
+    this.lastTroubleMs = this.#clock.now();
+    for (const { value } of this.entries()) if (!isAlive(value.id)) void this.#expire(value.id, isAlive);
+    for (const id of this.#random.shuffle([...this.#intended.keys()])) void this.#rewrite(id);
   }
 
-  /** Writes what a writer wrote last, if the store lacks it. */
-  async #writeAgain(id: string): Promise<void> {
-    await this.#clock.sleep(this.#random.next() * LONGEST_REWRITE_MS);
+  /** Repeats a writer's last write, if the store lacks it. */
+  async #rewrite(id: string): Promise<void> {
+    await this.#clock.sleep(this.#random.next() * MAX_REWRITE_DELAY_MS);
     const intended = this.#intended.get(id);
     const stored = this.entries().find(({ value }) => value.id === id)?.value;
     if (stored !== intended) await this.write(id, intended);
   }
 
-  async #lapse(id: string, isAlive: (id: string) => boolean): Promise<void> {
-    await this.#clock.sleep(LAPSE_MS);
+  async #expire(id: string, isAlive: (id: string) => boolean): Promise<void> {
+    await this.#clock.sleep(ENTRY_EXPIRY_MS);
     const isListed = this.entries().some(({ value }) => value.id === id);
     if (isListed && !isAlive(id)) await this.write(id, undefined);
   }
 }
 
-/** A node that reads the store where the fleet is small or it is one of the readers, and follows readers elsewhere. */
+/**
+ * A node that reads the store if the fleet is small or it is one of the readers, and follows readers
+ * otherwise.
+ */
 export class RestoredNode {
   readonly state = new FleetState();
   readonly follower: StateFollower;
   readonly #lapses: BackendLapses;
   readonly #clock: VirtualClock;
   readonly #store: RestoredStore;
-  #at: { readonly era: number; revision: number } | undefined;
+  #position: { readonly era: number; revision: number } | undefined;
 
-  /** @param nodes all nodes of the fleet, this one included once it is made; those beyond the given ones do nothing */
+  /**
+   * @param nodes all simulated nodes of the fleet, including this one once it is created; the rest of `count`
+   * does nothing
+   */
   constructor(
     readonly index: number,
     nodes: readonly RestoredNode[],
@@ -140,7 +146,7 @@
   async #keepReading(isReader: boolean): Promise<void> {
     await this.#clock.sleep(this.index * 37);
     for (;;) {
-      if ((isReader || this.follower.reads) && !this.#store.isAway) this.#read();
+      if ((isReader || this.follower.reads) && !this.#store.isUnavailable) this.#read();
       await this.#clock.sleep(READ_PERIOD_MS);
     }
   }
@@ -149,12 +155,12 @@
     const { era, revision } = this.#store;
     this.state.enterEra(era);
     this.#lapses.beginUpdate();
-    if (this.#at?.era !== era) {
-      this.#at = { era, revision };
+    if (this.#position?.era !== era) {
+      this.#position = { era, revision };
       this.#lapses.replace(revision, this.#store.entries());
     } else {
-      for (const write of this.#store.after(this.#at.revision)) this.#apply(write);
-      this.#at.revision = revision;
+      for (const write of this.#store.after(this.#position.revision)) this.#apply(write);
+      this.#position.revision = revision;
       this.state.confirmBackends(revision);
     }
     this.follower.onStoreAnswered(this.#clock.now());
--- a/packages/gateway/test/state-follower.test.ts
+++ b/packages/gateway/test/state-follower.test.ts
@@ -19,7 +19,7 @@
   };
 }
 
-/** A fleet in which only the first `readers` nodes of `count` answer; the node under test is the last one. */
+/** A fleet of `count` nodes in which those asked answer as readers; the node under test is the last one. */
 class Fleet {
   readonly clock = new VirtualClock();
   readonly own = new FleetState();
@@ -28,12 +28,12 @@
   readonly follower: StateFollower;
   fresh: (id: string) => boolean = () => true;
   silent = false;
-  /** Whether readers are of a build that reads eras. */
+  /** Whether readers are of a build that knows store eras. */
   namesEra = true;
 
   readonly #zoneOf: (index: number) => string;
 
-  /** @param zoneOf zone of the node of a number */
+  /** @param zoneOf zone of a node, by its number */
   constructor(count: number, zoneOf: (index: number) => string = () => 'a') {
     this.#zoneOf = zoneOf;
     const ids = Array.from({ length: count }, (_, index) => `node-${index}`);
@@ -50,7 +50,7 @@
     });
   }
 
-  /** The node reads the store by itself once, as after its start. */
+  /** Lets the node read the store itself once, as after its start. */
   readOnce(): void {
     this.own.applyConfiguration(BARE_CONFIGURATION);
     this.own.replaceBackends(9, [{ revision: 5, value: backend('e1', 'ready', ['a']) }]);
@@ -73,7 +73,7 @@
   return Number(id.slice('node-'.length));
 }
 
-test('each node of a small fleet reads the store, and asks nobody', async (t) => {
+test('each node of a small fleet reads the store, and asks no other node', async (t) => {
   const fleet = new Fleet(9);
   fleet.readOnce();
   fleet.follower.start();
@@ -82,7 +82,7 @@
   t.deepEqual(fleet.asked, []);
 });
 
-test('in a large fleet a node follows readers, and learns that a backend leaves', async (t) => {
+test('in a large fleet a node follows readers, and learns that a backend is leaving', async (t) => {
   const fleet = new Fleet(40);
   fleet.readOnce();
   fleet.follower.start();
@@ -107,12 +107,12 @@
   t.false(fleet.follower.reads);
 });
 
-test('each zone has a reader before one has a second', async (t) => {
+test('each zone has a reader before any zone has a second one', async (t) => {
   const fleet = new Fleet(40, (index) => (index < 10 ? 'a' : index === 10 ? 'b' : 'c'));
   fleet.readOnce();
   fleet.follower.start();
   await fleet.clock.runUntil(3000);
-  t.deepEqual(new Set(fleet.asked), new Set(['node-11']), 'the first one ranked of its own zone');
+  t.deepEqual(new Set(fleet.asked), new Set(['node-11']), 'the node of its own zone that ranks first');
   fleet.fresh = () => false;
   await fleet.clock.runUntil(6000);
   const numbers = [...new Set(fleet.asked)].map(numberOf).sort((a, b) => a - b);
@@ -127,7 +127,7 @@
   t.true(fleet.follower.reads);
 });
 
-test('a reader that did not hear from the store is passed over, and without any the node reads itself', async (t) => {
+test('a reader without contact to the store is passed over, and without any other the node reads the store itself', async (t) => {
   const fleet = new Fleet(40);
   fleet.readOnce();
   fleet.fresh = (id) => id === 'node-3';
@@ -142,8 +142,9 @@
   t.false(fleet.follower.reads);
 });
 
-// Guards against an old list that a reader of an earlier build vouches for, as it passes over what the store wrote again.
-test('readers that name no era are followed until a new one has begun, and then the node reads itself', async (t) => {
+// Guards against an old list confirmed by a reader of an earlier build, which ignores what the store wrote
+// again.
+test('readers that state no era are followed until a new era starts, and then the node reads the store itself', async (t) => {
   const fleet = new Fleet(40);
   fleet.namesEra = false;
   fleet.own.enterEra(1);
@@ -160,7 +161,7 @@
   t.false(fleet.follower.reads, 'readers that have read the new era are followed again');
 });
 
-test('adapters that come and go on a backend are no change for followers', (t) => {
+test('loading and unloading adapters on a backend is no change for followers', (t) => {
   const empty = new FleetState().routingDigest;
   const one = new FleetState();
   one.applyBackend(5, backend('e1', 'ready', ['a']));
@@ -176,7 +177,7 @@
   t.is(state.routingDigest, empty);
 });
 
-test('a whole entry takes the place of a partial one of the same revision', (t) => {
+test('a complete entry replaces a partial one of the same revision', (t) => {
   const published = new FleetState();
   published.replaceBackends(8, [{ revision: 5, value: backend('e1', 'ready', ['a']) }]);
   const own = new FleetState();
--- a/packages/gateway/test/virtual-clusters.ts
+++ b/packages/gateway/test/virtual-clusters.ts
@@ -11,35 +11,38 @@
   readonly processToken: string;
 }
 
-export interface VirtualWire {
+export interface VirtualLink {
   readonly oneWayMs: number;
-  /** Part of the datagrams that is lost, from 0 to 1. */
+  /** Fraction of the datagrams that is lost, from 0 to 1. */
   readonly lossShare: number;
   readonly seed: number;
 }
 
-/** The memberships of nodes on one virtual wire, in virtual time. */
+/** The memberships of nodes on one simulated network, in virtual time. */
 export class VirtualClusters {
   readonly clock = new VirtualClock();
   readonly clusters = new Map<string, Cluster>();
-  /** Clocks of the nodes' machines; what is sent to one that is suspended is lost. */
+  /** Clocks of the nodes' machines; datagrams to a suspended machine are lost. */
   readonly clocks = new Map<string, SuspendableClock>();
-  /** Pairs of nodes, as `from>to`, between which nothing passes. */
+  /** Pairs of nodes, as `from>to`, between which datagrams are dropped. */
   readonly cuts = new Set<string>();
-  /** A node heard that another one published requests that are kept from backends. */
+  /** Called with the node that received another node's list of quarantined requests. */
   onQuarantine: (id: string) => void = () => undefined;
-  readonly #wire: VirtualWire;
+  readonly #link: VirtualLink;
   readonly #random: Random;
   readonly #receivers = new Map<string, (from: string, bytes: Uint8Array) => void>();
 
-  /** @param seeds names of the nodes that each node knows at its start */
-  constructor(nodes: readonly VirtualNode[], seeds: readonly string[], wire: VirtualWire) {
-    this.#wire = wire;
-    this.#random = Random.derive(wire.seed, 'wire');
+  /** @param seeds names of the nodes that each node knows when it starts */
+  constructor(nodes: readonly VirtualNode[], seeds: readonly string[], link: VirtualLink) {
+    this.#link = link;
+    this.#random = Random.derive(link.seed, 'wire');
     for (const node of nodes) this.clusters.set(node.id, this.#start(node, seeds));
   }
 
-  /** The process of a node ends without a word, and another one starts on its machine that knows nothing but the seeds. */
+  /**
+   * Kills a node's process without notice, and starts another one on its machine that knows nothing but the
+   * seeds.
+   */
   restart(node: VirtualNode, seeds: readonly string[]): void {
     this.clusters.get(node.id)?.stop();
     this.clusters.set(node.id, this.#start(node, seeds));
@@ -58,7 +61,7 @@
       capacity,
       transport: this.#transport(id),
       clock,
-      random: Random.derive(this.#wire.seed, id),
+      random: Random.derive(this.#link.seed, id),
       telemetry: new Telemetry({ processName: id, clock }),
       seeds: () => seeds,
       configurationVersion: () => 0,
@@ -70,7 +73,7 @@
   }
 
   #transport(address: string): DatagramTransport {
-    const { oneWayMs, lossShare } = this.#wire;
+    const { oneWayMs, lossShare } = this.#link;
     return {
       localAddress: address,
       send: (to, bytes) => {
--- a/packages/gateway/test/virtual-holders.ts
+++ b/packages/gateway/test/virtual-holders.ts
@@ -23,21 +23,21 @@
 const ORDER_TIMEOUT_MS = 600;
 const ADAPTERS = 30;
 const RUN_MS = 150;
-const SHORTEST_GAP_MS = 20;
-/** Between two bursts of requests engines stand idle for up to this long. */
-const LONGEST_REST_MS = 7000;
+const REQUEST_GAP_MS = 20;
+/** Between two bursts of requests engines are idle for up to this long. */
+const MAX_IDLE_MS = 7000;
 const BURST_REQUESTS = 12;
 
 export interface HolderFleetOptions {
   readonly nodes: number;
   readonly engines: number;
-  /** Part of the datagrams between nodes that is lost, from 0 to 1. */
+  /** Fraction of the datagrams between nodes that is lost, from 0 to 1. */
   readonly lossShare: number;
   readonly seed: number;
 }
 
-/** Ways that stay open when a node is cut off. */
-export interface CutWays {
+/** Directions that stay open when a node is cut off. */
+export interface OpenDirections {
   readonly hears?: boolean;
   readonly speaks?: boolean;
 }
@@ -47,11 +47,13 @@
   readonly cluster: Cluster;
   readonly slots: SlotService;
   readonly control: CutControl;
-  /** Of the node's machine. */
+  /** Clock of the node's machine. */
   readonly clock: SuspendableClock;
 }
 
-/** One node's calls to engines, which can be cut off. A machine that is suspended hears of an answer when it goes on. */
+/**
+ * One node's calls to engines, which can be cut off. A suspended machine receives an answer when it resumes.
+ */
 class CutControl implements EngineControl {
   isCut = false;
   readonly #inner: EngineControl;
@@ -91,20 +93,20 @@
 export class HolderFleet {
   readonly engines: readonly SimulatedEngine[];
   readonly nodes: readonly HolderNode[];
-  readonly #wire: VirtualClusters;
+  readonly #clusters: VirtualClusters;
   readonly #random: Random;
 
   constructor({ nodes, engines, lossShare, seed }: HolderFleetOptions) {
     const ids = Array.from({ length: nodes }, (_, index) => `node-${index}`);
     this.#random = Random.derive(seed, 'requests');
-    this.#wire = new VirtualClusters(
+    this.#clusters = new VirtualClusters(
       ids.map((id) => ({ id, capacity: 1, processToken: id })),
       ids.slice(0, 3),
       { oneWayMs: ONE_WAY_MS, lossShare, seed },
     );
     this.engines = Array.from(
       { length: engines },
-      (_, index) => new SimulatedEngine(this.#wire.clock, `engine-${index}`),
+      (_, index) => new SimulatedEngine(this.#clusters.clock, `engine-${index}`),
     );
     this.nodes = ids.map((id, index) => this.#startNode(id, index));
     for (const node of this.nodes) void this.#request(node);
@@ -116,31 +118,31 @@
     );
   }
 
-  /** Orders that came to any engine. */
+  /** Number of orders that arrived at any engine. */
   get orders(): number {
     return this.engines.reduce((sum, { arrived }) => sum + arrived.length, 0);
   }
 
-  /** The node that most others take for the leader. */
+  /** The first node that considers itself the leader of a pool. */
   leader(): HolderNode | undefined {
     return this.nodes.find(({ slots, id }) => slots.leaders().has(id));
   }
 
-  /** Cuts a node off from all others. */
-  cutFromNodes(node: HolderNode, { hears = false, speaks = false }: CutWays): void {
+  /** Cuts a node off from all others, except in the directions that stay open. */
+  cutFromNodes(node: HolderNode, { hears = false, speaks = false }: OpenDirections): void {
     for (const { id } of this.nodes) {
-      if (!speaks) this.#wire.cuts.add(`${node.id}>${id}`);
-      if (!hears) this.#wire.cuts.add(`${id}>${node.id}`);
+      if (!speaks) this.#clusters.cuts.add(`${node.id}>${id}`);
+      if (!hears) this.#clusters.cuts.add(`${id}>${node.id}`);
     }
   }
 
   heal(): void {
-    this.#wire.cuts.clear();
+    this.#clusters.cuts.clear();
     for (const { control } of this.nodes) control.isCut = false;
   }
 
   async run(durationMs: number): Promise<void> {
-    const { clock } = this.#wire;
+    const { clock } = this.#clusters;
     await clock.runUntil(clock.now() + durationMs);
   }
 
@@ -153,7 +155,7 @@
   }
 
   #startNode(id: string, index: number): HolderNode {
-    const { clocks, clusters } = this.#wire;
+    const { clocks, clusters } = this.#clusters;
     const cluster = clusters.get(id);
     const clock = clocks.get(id);
     if (cluster === undefined || clock === undefined) throw new Error(`no cluster of ${id}`);
@@ -181,11 +183,14 @@
     return { id, cluster, slots, control, clock };
   }
 
-  /** Requests of one node, in bursts with rests between them; they go to the leader only where that is this node. */
+  /**
+   * Sends requests from one node, in bursts with pauses between them; only while this node itself is a
+   * leader.
+   */
   async #request({ id, slots, clock }: HolderNode): Promise<void> {
     for (let count = 0; ; count += 1) {
-      const isRest = count % BURST_REQUESTS === 0;
-      await clock.sleep(isRest ? this.#random.next() * LONGEST_REST_MS : SHORTEST_GAP_MS);
+      const isIdle = count % BURST_REQUESTS === 0;
+      await clock.sleep(isIdle ? this.#random.next() * MAX_IDLE_MS : REQUEST_GAP_MS);
       if (!slots.leaders().has(id)) continue;
       const request = this.#newRequest(`${id}/${count}`);
       void slots.acquire(SERVICE, request, new AbortController().signal).then(async (decision) => {
