--- a/packages/gateway/src/cluster/cluster.ts
+++ b/packages/gateway/src/cluster/cluster.ts
@@ -196,7 +196,7 @@
   }
 
   /** Time since this node first met another one, in milliseconds; 0 if it has met none. */
-  get knownPeersMs(): number {
+  get sinceFirstPeerMs(): number {
     return this.#firstPeerAtMs === undefined ? 0 : this.#options.clock.now() - this.#firstPeerAtMs;
   }
 
--- a/packages/gateway/src/cluster/configuration-parts.ts
+++ b/packages/gateway/src/cluster/configuration-parts.ts
@@ -70,7 +70,7 @@
 }
 
 /** Whether large data may be written to a peer now. */
-export function hasRoom({ forPeer, forAll }: WaitingBytes): boolean {
+export function maySendLarge({ forPeer, forAll }: WaitingBytes): boolean {
   return forPeer <= MAX_WAITING_FOR_PEER_BYTES && forAll <= MAX_WAITING_BYTES;
 }
 
@@ -86,7 +86,7 @@
   answer(request: PartRequest, waiting: WaitingBytes): PartReply {
     const configuration = this.#fleet.routes?.configuration;
     if (configuration === undefined || configuration.version <= request.above) return { kind: 'none' };
-    if (!hasRoom(waiting)) return { kind: 'busy' };
+    if (!maySendLarge(waiting)) return { kind: 'busy' };
     if (this.#packed?.version !== configuration.version) this.#packed = pack(configuration);
     const { version, digest, bytes } = this.#packed;
     const offset = request.digest === digest ? request.offset : 0;
--- a/packages/gateway/src/cluster/departure-budget.ts
+++ b/packages/gateway/src/cluster/departure-budget.ts
@@ -27,7 +27,7 @@
  */
 const FINAL_CHECK_AGE_SHARE = 0.85;
 /** From this age on a follower reads the store itself. */
-const ORPHANED_AGE_SHARE = 0.75;
+const FALLBACK_READ_AGE_SHARE = 0.75;
 
 /** Times in milliseconds; see the fractions above. */
 export interface DepartureBudget {
@@ -46,7 +46,7 @@
   readonly hedgeMs: number;
   readonly sendAgeMs: number;
   readonly finalCheckAgeMs: number;
-  readonly orphanedAgeMs: number;
+  readonly fallbackReadAgeMs: number;
 }
 
 /** @param drainMs time within which each node must know that a backend is leaving */
@@ -61,6 +61,6 @@
     hedgeMs: drainMs * HEDGE_SHARE,
     sendAgeMs: drainMs * SEND_AGE_SHARE,
     finalCheckAgeMs: drainMs * FINAL_CHECK_AGE_SHARE,
-    orphanedAgeMs: drainMs * ORPHANED_AGE_SHARE,
+    fallbackReadAgeMs: drainMs * FALLBACK_READ_AGE_SHARE,
   };
 }
--- a/packages/gateway/src/cluster/directory.ts
+++ b/packages/gateway/src/cluster/directory.ts
@@ -29,18 +29,18 @@
  * of them.
  */
 export class Directory {
-  readonly #sight: DirectoryCluster;
+  readonly #cluster: DirectoryCluster;
   readonly #leaders: () => ReadonlySet<string>;
 
   /** @param leaders names of the nodes that lead pools, whose loss should not also interrupt callers */
-  constructor(sight: DirectoryCluster, leaders: () => ReadonlySet<string>) {
-    this.#sight = sight;
+  constructor(cluster: DirectoryCluster, leaders: () => ReadonlySet<string>) {
+    this.#cluster = cluster;
     this.#leaders = leaders;
   }
 
   /** `IP:port` of at most `limit` nodes for a caller in a zone. */
   addresses(zone: string, region: string, limit: number): string[] {
-    const serving = this.#sight.serving();
+    const serving = this.#cluster.serving();
     const inZone = serving.filter((member) => member.zone === zone);
     const inRegion = serving.filter((member) => member.region === region);
     const nearest = [inZone, inRegion].find((members) => members.length >= MIN_NODES_IN_ZONE) ?? serving;
@@ -55,7 +55,7 @@
    * listed node.
    */
   shareOf(id: string): number {
-    const serving = this.#sight.serving();
+    const serving = this.#cluster.serving();
     const zones = new Set(serving.map((member) => member.zone));
     const listed = [...zones].flatMap((zone) =>
       this.#strongest(serving.filter((member) => member.zone === zone)),
@@ -75,7 +75,7 @@
     const strong = ranked.filter(
       ({ capacity }, index) => index < MIN_LISTED_NODES || capacity >= strongCapacity,
     );
-    const busy = this.#sight.busy();
+    const busy = this.#cluster.busy();
     return strong.some(({ id }) => busy.has(id)) ? free : strong;
   }
 }
--- a/packages/gateway/src/cluster/fleet-quarantine.ts
+++ b/packages/gateway/src/cluster/fleet-quarantine.ts
@@ -241,7 +241,7 @@
     };
     const reply = (await network.to(address).call(INTERRUPTED_METHOD, params, REPORT_TIMEOUT_MS)) as
       InterruptedReply | undefined;
-    if (reply === undefined || reply === null) throw new Error(`${id} does not count`);
+    if (reply === undefined || reply === null) throw new Error(`${id} is not a quarantine home`);
     for (const { knownTo } of unconfirmed) knownTo.add(home);
     for (const fingerprint of reply) this.#add({ fingerprint, ageMs: 0 }, 'peer');
   }
--- a/packages/gateway/src/cluster/leader-quorum.ts
+++ b/packages/gateway/src/cluster/leader-quorum.ts
@@ -78,9 +78,9 @@
       return;
     }
     const answered = await ask(asked, ANSWER_TIMEOUT_MS);
-    const isMost = 2 * (answered.length + 1) > asked.length + 1;
-    if (isMost && this.#isReachable) this.#answeredMs = Math.max(this.#answeredMs, sentMs);
-    if (isMost && !this.#isReachable) onReachableAgain(answered);
-    this.#isReachable = isMost;
+    const isMajority = 2 * (answered.length + 1) > asked.length + 1;
+    if (isMajority && this.#isReachable) this.#answeredMs = Math.max(this.#answeredMs, sentMs);
+    if (isMajority && !this.#isReachable) onReachableAgain(answered);
+    this.#isReachable = isMajority;
   }
 }
--- a/packages/gateway/src/cluster/order-permission.ts
+++ b/packages/gateway/src/cluster/order-permission.ts
@@ -39,9 +39,9 @@
  */
 const MAX_QUORUM_AGE_MS = 1500;
 /**
- * For this long a new leader does not become holder of any engine, because the previous leader may still give
- * orders until its quorum expires and one of those may still be in transit: 1.5 s and 0.6 s after the cut,
- * whereas this node leads after 1.45 s at the earliest.
+ * For this long a new leader does not become holder of any engine. The previous leader may give orders until
+ * its quorum expires, 1.5 s after it was cut off, and an order may be in transit for another 0.6 s, whereas
+ * this node leads after 1.45 s at the earliest.
  */
 export const HANDOVER_MS = 1000;
 /**
@@ -124,10 +124,10 @@
   }
 
   /**
-   * Whether this node may become holder of an engine that has received no order for a lease. For {@link
-   * HANDOVER_MS} the previous leader may still give orders. A node that no longer counts most others as
-   * members may be cut off from them: orders that it did not give reveal a leader on their side, and a node
-   * that sees nobody is more likely cut off than the last one running.
+   * Whether this node may become holder of an engine that has received no order for a lease. The previous
+   * leader may still give orders for {@link HANDOVER_MS}. A node that no longer counts most others as members
+   * may be cut off from them: orders that it did not give reveal a leader on their side, and a node that sees
+   * nobody is more likely cut off than the last one running.
    */
   mayTake({ leadingSinceMs, foreignOrdersMs }: PoolEntry): boolean {
     const { clock, cluster } = this.#options;
@@ -148,8 +148,8 @@
   }
 
   /**
-   * Whether this node may become holder of an engine that never received an order at once, because no other
-   * node can lead.
+   * Whether this node may become holder of an engine at once if the engine never received an order: true only
+   * if no other node can lead.
    */
   mayTakeUnused({ leading, leadingSinceMs }: PoolEntry): boolean {
     const { clock, timing, cluster } = this.#options;
--- a/packages/gateway/src/cluster/published-state.ts
+++ b/packages/gateway/src/cluster/published-state.ts
@@ -65,14 +65,14 @@
 /** Name by which nodes are ranked as readers of the published state. */
 const READERS_POOL = 'published-state';
 /** Longest watch of the operators' entries where no revocation bound is set for keys. */
-const LONGEST_OPERATOR_WATCH_MS = 5000;
-const LONGEST_OPERATOR_OVERDUE_MS = 1000;
+const MAX_OPERATOR_WATCH_MS = 5000;
+const MAX_OPERATOR_OVERDUE_MS = 1000;
 const READER_RETRY_MS = 700;
 /**
  * Used by a follower that has to read the store itself and fails: most likely no node can read it, and the
  * readers notice first when it is back.
  */
-const ORPHAN_RETRY_MS = 2000;
+const FALLBACK_RETRY_MS = 2000;
 
 /**
  * Keeps this node up to date with the published state, directly or through peers, and tells how far it can be
@@ -167,7 +167,7 @@
   }
 
   get sourcePace(): SourcePace {
-    const retryMostMs = this.#follower.isOrphan ? ORPHAN_RETRY_MS : READER_RETRY_MS;
+    const retryMostMs = this.#follower.isFallbackReader ? FALLBACK_RETRY_MS : READER_RETRY_MS;
     const { readerWatchMs, readerPauseMs, directReaderWatchMs, directReaderPauseMs } = this.#budget;
     return this.#follower.isLarge
       ? { watchMs: readerWatchMs, pauseMs: readerPauseMs, retryMostMs }
@@ -180,8 +180,8 @@
   get operatorPace(): { readonly watchMs: number; readonly overdueMs: number } {
     const { watchMs, overdueMs } = this.#options.keyLease;
     return {
-      watchMs: Math.min(watchMs, LONGEST_OPERATOR_WATCH_MS),
-      overdueMs: Math.min(overdueMs, LONGEST_OPERATOR_OVERDUE_MS),
+      watchMs: Math.min(watchMs, MAX_OPERATOR_WATCH_MS),
+      overdueMs: Math.min(overdueMs, MAX_OPERATOR_OVERDUE_MS),
     };
   }
 
--- a/packages/gateway/src/cluster/slot-service.ts
+++ b/packages/gateway/src/cluster/slot-service.ts
@@ -247,9 +247,9 @@
       entry.pool.started(requestId);
       return;
     }
-    const told = this.#unreportedStarts.get(poolName);
-    if (told !== undefined) {
-      told.push(requestId);
+    const unreported = this.#unreportedStarts.get(poolName);
+    if (unreported !== undefined) {
+      unreported.push(requestId);
       return;
     }
     this.#unreportedStarts.set(poolName, [requestId]);
@@ -428,7 +428,8 @@
     const followers = cluster.candidates(name).filter((id) => id !== leader);
     const ageMs = clock.now() - this.#startedMs;
     const isStartingUp = ageMs < STARTUP_MS;
-    if (isStartingUp && cluster.knownPeersMs < RANKING_SETTLE_MS && ageMs < NO_PEERS_AFTER_MS) return false;
+    if (isStartingUp && cluster.sinceFirstPeerMs < RANKING_SETTLE_MS && ageMs < NO_PEERS_AFTER_MS)
+      return false;
     return followers.slice(0, isStartingUp ? STARTUP_OBSERVERS : 1).includes(cluster.selfId);
   }
 
--- a/packages/gateway/src/cluster/sole-leader.ts
+++ b/packages/gateway/src/cluster/sole-leader.ts
@@ -16,7 +16,7 @@
  * that has received none yet: such an engine shows no sign of another holder.
  * @param settledAfterMs the lease plus its margin
  */
-export function isSoleLeader(standing: LeaderState, nowMs: number, settledAfterMs: number): boolean {
-  const { leadingSinceMs, lastDisruptionMs, seesAll } = standing;
+export function isSoleLeader(state: LeaderState, nowMs: number, settledAfterMs: number): boolean {
+  const { leadingSinceMs, lastDisruptionMs, seesAll } = state;
   return seesAll && nowMs - Math.max(leadingSinceMs, lastDisruptionMs) > settledAfterMs;
 }
--- a/packages/gateway/src/cluster/state-exchange.ts
+++ b/packages/gateway/src/cluster/state-exchange.ts
@@ -1,7 +1,7 @@
 import { Notifier, type Clock, type Random } from '@canvasridge/clock';
 import type { FleetSnapshot, FleetState } from '@canvasridge/serving';
 import type { Telemetry } from '@canvasridge/telemetry';
-import { hasRoom, type WaitingBytes } from './configuration-parts.js';
+import { maySendLarge, type WaitingBytes } from './configuration-parts.js';
 import type { ConfigurationFreshness, AdvertisedConfiguration } from './configuration-freshness.js';
 import type { PeerCaller } from './peer-caller.js';
 
@@ -129,6 +129,6 @@
   const hasBackendNews =
     fleet.routingDigest !== known.routingDigest &&
     fleet.backendsReach({ era, revision: known.backendsRevision });
-  if ((!hasOperatorNews && !hasBackendNews) || !hasRoom(waiting)) return configuration;
+  if ((!hasOperatorNews && !hasBackendNews) || !maySendLarge(waiting)) return configuration;
   return { ...configuration, snapshot: { ...fleet.snapshot(), configuration: undefined } };
 }
--- a/packages/gateway/src/cluster/state-follower.ts
+++ b/packages/gateway/src/cluster/state-follower.ts
@@ -1,7 +1,7 @@
 import { Notifier, type Clock } from '@canvasridge/clock';
 import type { BackendListing, FleetState, OperatorState } from '@canvasridge/serving';
 import type { Telemetry } from '@canvasridge/telemetry';
-import { hasRoom, type WaitingBytes } from './configuration-parts.js';
+import { maySendLarge, type WaitingBytes } from './configuration-parts.js';
 import type { ConfigurationFreshness, AdvertisedConfiguration } from './configuration-freshness.js';
 import type { DepartureBudget } from './departure-budget.js';
 import type { PeerCaller } from './peer-caller.js';
@@ -141,7 +141,7 @@
   }
 
   /** Whether this node reads the store only because it finds no reader whose list is recent. */
-  get isOrphan(): boolean {
+  get isFallbackReader(): boolean {
     const { selfId, needsWholeState } = this.#options;
     return this.#reading && this.isLarge && !this.#readers().includes(selfId) && !needsWholeState();
   }
@@ -175,7 +175,7 @@
     const { clock, fleet, freshness } = this.#options;
     const { era, backendsRevision } = fleet;
     const configuration = freshness.advertised;
-    if (!hasRoom(waiting)) return { era, backendsRevision, ...configuration, withheld: true };
+    if (!maySendLarge(waiting)) return { era, backendsRevision, ...configuration, withheld: true };
     const hasListing =
       fleet.routingDigest !== known.routingDigest &&
       fleet.backendsReach({ era: known.era, revision: known.backendsRevision });
@@ -270,7 +270,7 @@
     if (!this.isLarge || readers.includes(selfId) || needsWholeState()) return true;
     if (fleet.routes === undefined || !fleet.isListKnown) return true;
     const ageMs = Math.min(this.listAgeMs, clock.now() - this.#startedMs);
-    return ageMs > budget.orphanedAgeMs;
+    return ageMs > budget.fallbackReadAgeMs;
   }
 
   /**
--- a/packages/gateway/test/state-follower.test.ts
+++ b/packages/gateway/test/state-follower.test.ts
@@ -135,7 +135,7 @@
   await fleet.clock.runUntil(6000);
   t.false(fleet.follower.reads);
   fleet.fresh = () => false;
-  await fleet.clock.runUntil(6000 + BUDGET.orphanedAgeMs + 2 * BUDGET.pollMs);
+  await fleet.clock.runUntil(6000 + BUDGET.fallbackReadAgeMs + 2 * BUDGET.pollMs);
   t.true(fleet.follower.reads);
   fleet.fresh = () => true;
   await fleet.clock.runUntil(10_000);
@@ -153,7 +153,7 @@
   await fleet.clock.runUntil(6000);
   t.false(fleet.follower.reads);
   fleet.own.enterEra(2);
-  await fleet.clock.runUntil(6000 + BUDGET.orphanedAgeMs + 2 * BUDGET.pollMs);
+  await fleet.clock.runUntil(6000 + BUDGET.fallbackReadAgeMs + 2 * BUDGET.pollMs);
   t.true(fleet.follower.reads);
   fleet.namesEra = true;
   fleet.published.enterEra(2);
