--- a/packages/gateway/src/cluster/order-permission.ts
+++ b/packages/gateway/src/cluster/order-permission.ts
@@ -58,9 +58,10 @@
 const REPORTED_ORDERS_LAG_MS = 1000;
 
 /**
- * Decides whether this node may give orders and become holder of engines, as far as that depends on the other
- * nodes. Every observation behind a decision expires: if two nodes both relied on observations for longer
- * than the other one waits, both would give orders.
+ * Decides whether this node may give orders (to load or unload adapters) to engines, and become holder of
+ * engines, that is, the one node that gives them orders, as far as that depends on the other nodes. Every
+ * observation behind a decision expires: if two nodes both relied on observations for longer than the other
+ * one waits, both would give orders.
  */
 export class OrderPermission {
   readonly #options: OrderPermissionOptions;
@@ -174,7 +175,7 @@
   /**
    * Checks whether the machine was suspended. A change of the system time may look the same, so this node
    * does not give up what it holds: it gives orders again once a majority has answered, it has caught up on
-   * what it missed, and each engine shows the count that it expects.
+   * what it missed, and each engine reports the order count that this node expects.
    */
   #checkSuspension(): boolean {
     const { clock, fleetClock, telemetry, onSuspended } = this.#options;
--- a/packages/gateway/src/cluster/state-exchange.ts
+++ b/packages/gateway/src/cluster/state-exchange.ts
@@ -13,7 +13,10 @@
 
 /** Params of {@link SNAPSHOT_METHOD}: what the requesting node already knows. */
 export interface SnapshotRequest {
-  /** Store era of both revisions; absent from a build that does not know eras. */
+  /**
+   * Era of the store in which both revisions were assigned, which changes when the store is restored from a
+   * copy; absent from a build that does not know eras.
+   */
   readonly era?: number | undefined;
   readonly operatorRevision: number;
   /** See {@link FleetState.operatorDigest}. */
--- a/packages/gateway/src/cluster/state-follower.ts
+++ b/packages/gateway/src/cluster/state-follower.ts
@@ -10,7 +10,10 @@
 
 /** Params of {@link FOLLOW_METHOD}: what the requesting node holds of the published state. */
 export interface FollowRequest {
-  /** Store era of both revisions; absent from a build that does not know eras. */
+  /**
+   * Era of the store in which both revisions were assigned, which changes when the store is restored from a
+   * copy; absent from a build that does not know eras.
+   */
   readonly era?: number | undefined;
   readonly backendsRevision: number;
   /** See {@link FleetState.routingDigest}. */
