--- a/packages/admission/src/caller-limits.ts
+++ b/packages/admission/src/caller-limits.ts
@@ -3,12 +3,12 @@
 import { err, ok, type Result } from 'neverthrow';
 import { TokenBucket } from './token-bucket.js';
 
-/** Why a caller must wait. */
+/** Why a request was refused by its caller's limits. */
 export type LimitRefusal =
   | { readonly kind: 'rate-limited'; readonly retryAfterSeconds: number }
   | { readonly kind: 'concurrency-limited'; readonly limit: number };
 
-/** A place among a caller's concurrent requests. */
+/** One of the concurrent requests that a caller may have; to be released when the request ends. */
 export interface Permit {
   release(): void;
 }
@@ -18,19 +18,21 @@
   running: number;
 }
 
-/** Seconds of its rate that a caller may use in one burst. */
+/** A caller's burst, in seconds of its rate. */
 const BURST_SECONDS = 1;
 
 /**
- * Rate and concurrency of each caller on this node. The share is the node's part of the caller's limit:
- * callers spread over nodes, and the parts add up to the whole.
+ * Rate and concurrency limits of each caller on this node. Callers spread their requests over the nodes, so
+ * each node enforces a share of a caller's limit; the shares of all nodes add up to the whole limit.
  */
 export class CallerLimits {
   readonly #clock: Clock;
   readonly #share: (caller: string) => number;
   readonly #callers = new Map<string, CallerState>();
 
-  /** @param share part of the caller's limit that this node may use, above 0 and at most 1 */
+  /**
+   * @param share returns the fraction of the caller's limit that this node enforces, above 0 and at most 1
+   */
   constructor(clock: Clock, share: (caller: string) => number) {
     this.#clock = clock;
     this.#share = share;
--- a/packages/admission/src/home-token.ts
+++ b/packages/admission/src/home-token.ts
@@ -1,7 +1,7 @@
 /**
- * Home of an idempotency key: the node process that remembers it, and the period in which the home was
- * given out. A key is accepted only while its period is remembered, so memory stays bounded without
- * forgetting a key that may come again.
+ * Names the home of an idempotency key: the node process that stores the key's state, and the epoch in which
+ * that process was assigned as home. A process drops whole epochs and rejects keys of dropped ones. So its
+ * memory stays bounded, and a key that may still be sent again is never mistaken for a new one.
  */
 export interface HomeToken {
   readonly nodeId: string;
@@ -9,17 +9,17 @@
   readonly epoch: number;
 }
 
-/** Length of a period, in milliseconds. */
+/** Length of an epoch, in milliseconds. */
 export const HOME_EPOCH_MS = 600_000;
 
-const HOME = /^([\w.-]{1,64})~([\w-]{1,64})~(\d{1,12})$/;
+const HOME_PATTERN = /^([\w.-]{1,64})~([\w-]{1,64})~(\d{1,12})$/;
 
 export function formatHome(home: HomeToken): string {
   return `${home.nodeId}~${home.processToken}~${home.epoch}`;
 }
 
 export function parseHome(text: string): HomeToken | undefined {
-  const match = HOME.exec(text);
+  const match = HOME_PATTERN.exec(text);
   if (match === null) return undefined;
   return { nodeId: match[1] ?? '', processToken: match[2] ?? '', epoch: Number(match[3]) };
 }
--- a/packages/admission/src/quarantine/quarantine-gate.ts
+++ b/packages/admission/src/quarantine/quarantine-gate.ts
@@ -1,19 +1,20 @@
 /**
- * Keeps requests from backends that end the backends that run them. A request under which a backend breaks off may have
- * been struck by the backend's fault, or be the cause of it; one that comes again, under another backend each time, is the
- * cause.
+ * Quarantines requests that crash the backends that run them. When a backend fails, each request that it was
+ * running may be either the cause or a victim. A request that is sent again and interrupted on several
+ * different backends is taken for the cause.
  */
 export interface QuarantineGate {
-  /** Whether no request is kept from backends or suspected, so that none has to be looked up. */
+  /** Whether no request is quarantined or suspected, so that callers can skip the lookup. */
   readonly isEmpty: boolean;
-  /** Time for which a request is kept from backends still, in milliseconds; undefined if it is not. */
+  /** Remaining time of the request's quarantine in milliseconds; undefined if it is not quarantined. */
   remainingMs(fingerprint: string): number | undefined;
   /**
-   * Resolves once it is known whether the request is kept from backends for it, or if that takes too long for one that is to
-   * be sent again.
-   * @param backendId names one start of the process of the backend that broke off under the request
+   * Reports that a backend failed while running the request. Resolves once it is known whether that puts the
+   * request into quarantine, or after a short time limit, as the caller may be about to send the request
+   * again.
+   * @param backendId identifies one start of the process of the backend that failed
    */
   interrupted(fingerprint: string, backendId: string): Promise<void>;
-  /** A backend answered the request with a whole success, so it is not what ends backends. */
+  /** Reports that a backend completed the request successfully, so the request does not crash backends. */
   endedWell(fingerprint: string): void;
 }
--- a/packages/admission/src/quarantine/quarantine-list.ts
+++ b/packages/admission/src/quarantine/quarantine-list.ts
@@ -1,24 +1,27 @@
 import type { Clock } from '@canvasridge/clock';
 
 /**
- * How long a request is kept from backends. After that it gets another chance, at the price of as many backends again
- * as it took before: three in an hour.
+ * How long a request stays quarantined. After that it may run again and, if it still crashes backends, crash
+ * as many of them as the first time before it is quarantined again: three in an hour.
  */
 export const QUARANTINE_MS = 3_600_000;
-/** As many as fit into one gossip datagram with their ages: 32 of 24 bytes. */
-const MOST_QUARANTINED = 32;
+/** As many entries as fit into one gossip datagram with their ages: 32 of 24 bytes each. */
+const MAX_QUARANTINED = 32;
 
-/** A quarantined request, as nodes tell one another. */
+/** A quarantined request, in the form that nodes exchange. */
 export interface QuarantinedRequest {
   readonly fingerprint: string;
-  /** Time since it was quarantined, as clocks of nodes have no common zero. */
+  /**
+   * Time since it was quarantined: an age and not a time stamp, as the clocks of the nodes have different
+   * zero points.
+   */
   readonly ageMs: number;
 }
 
-/** Requests that are sent to no backend, by fingerprint. */
+/** The quarantined requests, which are sent to no backend, by fingerprint. */
 export class QuarantineList {
   readonly #clock: Clock;
-  /** Moments at which the quarantine ends, those that end first in front. */
+  /** Time at which each quarantine ends, earliest first. */
   readonly #endsMs = new Map<string, number>();
 
   constructor(clock: Clock) {
@@ -29,18 +32,21 @@
     return this.#endsMs.size;
   }
 
-  /** Returns whether it is news. */
+  /**
+   * Returns whether the request was added: it was not listed, its quarantine is not over, and the list has
+   * room for it.
+   */
   add({ fingerprint, ageMs }: QuarantinedRequest): boolean {
-    this.#dropEnded();
+    this.#removeExpired();
     if (ageMs >= QUARANTINE_MS || this.#endsMs.has(fingerprint)) return false;
     this.#endsMs.set(fingerprint, this.#clock.now() + QUARANTINE_MS - ageMs);
-    const ordered = [...this.#endsMs].sort(([, a], [, b]) => a - b).slice(-MOST_QUARANTINED);
+    const ordered = [...this.#endsMs].sort(([, a], [, b]) => a - b).slice(-MAX_QUARANTINED);
     this.#endsMs.clear();
     for (const [key, endMs] of ordered) this.#endsMs.set(key, endMs);
     return this.#endsMs.has(fingerprint);
   }
 
-  /** Time for which a request is kept from backends still, in milliseconds; undefined if it is not. */
+  /** Remaining time of the request's quarantine in milliseconds; undefined if it is not quarantined. */
   remainingMs(fingerprint: string): number | undefined {
     const endMs = this.#endsMs.get(fingerprint);
     if (endMs === undefined) return undefined;
@@ -49,7 +55,7 @@
   }
 
   entries(): QuarantinedRequest[] {
-    this.#dropEnded();
+    this.#removeExpired();
     const nowMs = this.#clock.now();
     return [...this.#endsMs].map(([fingerprint, endMs]) => ({
       fingerprint,
@@ -57,7 +63,7 @@
     }));
   }
 
-  #dropEnded(): void {
+  #removeExpired(): void {
     const nowMs = this.#clock.now();
     for (const [fingerprint, endMs] of this.#endsMs) {
       if (endMs <= nowMs) this.#endsMs.delete(fingerprint);
--- a/packages/admission/src/quota/demand-rate.ts
+++ b/packages/admission/src/quota/demand-rate.ts
@@ -1,32 +1,32 @@
 import type { Clock } from '@canvasridge/clock';
 
-/** Units asked for within about this time count. */
+/** Time constant of the exponential decay. */
 const WINDOW_MS = 1000;
 
-/** Units a second that were asked for of late, older ones weighing less and less. */
+/** Exponentially decaying average of the units requested per second. */
 export class DemandRate {
   readonly #clock: Clock;
-  #weighted = 0;
-  #atMs: number;
+  #decayedUnits = 0;
+  #updatedAtMs: number;
 
   constructor(clock: Clock) {
     this.#clock = clock;
-    this.#atMs = clock.now();
+    this.#updatedAtMs = clock.now();
   }
 
   add(units: number): void {
-    this.#fade();
-    this.#weighted += units;
+    this.#decay();
+    this.#decayedUnits += units;
   }
 
   get perSecond(): number {
-    this.#fade();
-    return (this.#weighted / WINDOW_MS) * 1000;
+    this.#decay();
+    return (this.#decayedUnits / WINDOW_MS) * 1000;
   }
 
-  #fade(): void {
+  #decay(): void {
     const nowMs = this.#clock.now();
-    this.#weighted *= Math.exp((this.#atMs - nowMs) / WINDOW_MS);
-    this.#atMs = nowMs;
+    this.#decayedUnits *= Math.exp((this.#updatedAtMs - nowMs) / WINDOW_MS);
+    this.#updatedAtMs = nowMs;
   }
 }
--- a/packages/admission/src/quota/quota-gate.ts
+++ b/packages/admission/src/quota/quota-gate.ts
@@ -1,33 +1,33 @@
-/** What a subject, such as a tenant, may use over all nodes together. */
+/** Quota of a subject, such as a tenant, over all nodes together. */
 export interface QuotaRule {
-  /** Units a second without end. */
+  /** Sustained rate, in units per second. */
   readonly ratePerSecond: number;
-  /** Units at once beside the rate. */
+  /** Units that may be used at once on top of the rate. */
   readonly burst: number;
 }
 
-/** The rule of a subject at present; undefined for no limit. */
+/** Returns the current rule of a subject; undefined for no limit. */
 export type QuotaRules = (subject: string) => QuotaRule | undefined;
 
 export type QuotaDecision =
   | { readonly kind: 'admitted' }
-  /** @property retryAfterMs when units are likely to be there */
+  /** @property retryAfterMs time after which enough units are likely to be available */
   | { readonly kind: 'refused'; readonly retryAfterMs: number };
 
-/** Decides on one node what may run of a quota that holds over all nodes. */
+/** Admits requests on one node against quotas that apply to all nodes together. */
 export interface QuotaGate {
-  /** Counts the units of one request if it is admitted. */
+  /** Decides on one request and, if it is admitted, deducts its units. */
   admit(subject: string, units: number): Promise<QuotaDecision>;
-  /** A request that was admitted did not run. */
+  /** Returns the units of a request that was admitted but did not run. */
   giveBack(subject: string, units: number): void;
 }
 
-/** Shortest and longest time after which a refused caller is told to come back. */
-const SHORTEST_RETRY_MS = 20;
-const LONGEST_RETRY_MS = 5000;
+/** Bounds of the retry delay that a refused caller is given. */
+const MIN_RETRY_MS = 20;
+const MAX_RETRY_MS = 5000;
 
-/** Time after which so many units have come at a rate. */
+/** Time in which `units` accrue at the rate, within the bounds of the retry delay. */
 export function retryAfterMs(units: number, ratePerSecond: number): number {
-  if (ratePerSecond <= 0) return LONGEST_RETRY_MS;
-  return Math.min(Math.max((units / ratePerSecond) * 1000, SHORTEST_RETRY_MS), LONGEST_RETRY_MS);
+  if (ratePerSecond <= 0) return MAX_RETRY_MS;
+  return Math.min(Math.max((units / ratePerSecond) * 1000, MIN_RETRY_MS), MAX_RETRY_MS);
 }
--- a/packages/admission/src/quota/quota-shares.ts
+++ b/packages/admission/src/quota/quota-shares.ts
@@ -6,15 +6,19 @@
 export interface QuotaSharesOptions {
   readonly clock: Clock;
   readonly rules: QuotaRules;
-  /** This node's part of a subject's quota, from 0 to 1, given what callers ask of it by itself, in units a second. */
+  /**
+   * This node's share of a subject's quota, from 0 to 1, given the units per second that callers request of
+   * this node.
+   */
   readonly share: (subject: string, demandPerSecond: number) => number;
-  /** Part of the burst that is there at first. */
+  /** Fraction of the burst that is available at the start. */
   readonly firstFill: number;
 }
 
 /**
- * Quotas without a home: each node has a part of each rate and burst and asks nobody. What the parts are is told by the
- * caller: the same for all nodes, or by each node's part of the demand as the nodes tell one another.
+ * Quotas without a home node: each node enforces its share of each rate and burst without asking others. The
+ * `share` option sets the shares, for example the same for all nodes, or in proportion to the demand that the
+ * nodes report to each other.
  */
 export class QuotaShares implements QuotaGate {
   readonly #options: QuotaSharesOptions;
@@ -42,7 +46,7 @@
     this.#accounts.get(subject)?.bucket.add(units);
   }
 
-  /** Units a second that callers asked for of late. */
+  /** Units per second that callers requested recently. */
   demandOf(subject: string): number {
     return this.#accounts.get(subject)?.demand.perSecond ?? 0;
   }
--- a/packages/admission/src/quota/unit-bucket.ts
+++ b/packages/admission/src/quota/unit-bucket.ts
@@ -1,40 +1,50 @@
 import type { Clock } from '@canvasridge/clock';
 import type { QuotaRule } from './quota-gate.js';
 
-/** A bucket holds at least what comes in this time, so that a rate without a burst admits anything at all. */
-const LEAST_FILL_MS = 100;
-
-/** Units of one subject: they come at a rate up to a fill, and a rule that changes holds at once. */
+/**
+ * A bucket can hold at least the units of this time at its rate; otherwise a rule without a burst would admit
+ * nothing.
+ */
+const MIN_CAPACITY_MS = 100;
+
+/**
+ * Token bucket for the units of one subject. The rule is passed to each call, so a changed rule applies at
+ * once.
+ */
 export class UnitBucket {
   readonly #clock: Clock;
   #units: number;
-  #atMs: number;
+  #updatedAtMs: number;
 
   /**
-   * @param units what it held at first; bounded by the rule when it is used
-   * @param sinceMs moment from which on units came
+   * @param units initial content; limited to the capacity by the rule of the first call
+   * @param sinceMs time from which units accrue
    */
   constructor(clock: Clock, units: number, sinceMs = clock.now()) {
     this.#clock = clock;
     this.#units = units;
-    this.#atMs = sinceMs;
+    this.#updatedAtMs = sinceMs;
   }
 
   /**
-   * Units that are there; below 0 while a request larger than the whole bucket is being paid for.
-   * @param share part of the rate that comes here, from 0 to 1
+   * Available units. Negative after a request larger than the capacity was admitted, until the excess has
+   * accrued again.
+   * @param share fraction of the rate and capacity that applies here, from 0 to 1
    */
   available(rule: QuotaRule, share = 1): number {
     const nowMs = this.#clock.now();
-    const came = ((nowMs - this.#atMs) / 1000) * rule.ratePerSecond * share;
-    this.#atMs = nowMs;
-    this.#units = Math.min(this.#units + came, fillOf(rule, share));
+    const accrued = ((nowMs - this.#updatedAtMs) / 1000) * rule.ratePerSecond * share;
+    this.#updatedAtMs = nowMs;
+    this.#units = Math.min(this.#units + accrued, capacityOf(rule, share));
     return this.#units;
   }
 
-  /** Whether a request of so many units may go; takes them if so. One larger than the bucket goes when that is full. */
+  /**
+   * Takes the units if they are available. A request larger than the capacity is admitted when the bucket is
+   * full.
+   */
   take(units: number, rule: QuotaRule, share = 1): boolean {
-    if (this.available(rule, share) < Math.min(units, fillOf(rule, share))) return false;
+    if (this.available(rule, share) < Math.min(units, capacityOf(rule, share))) return false;
     this.#units -= units;
     return true;
   }
@@ -48,6 +58,6 @@
   }
 }
 
-function fillOf({ ratePerSecond, burst }: QuotaRule, share: number): number {
-  return Math.max(burst, (ratePerSecond * LEAST_FILL_MS) / 1000) * share;
+function capacityOf({ ratePerSecond, burst }: QuotaRule, share: number): number {
+  return Math.max(burst, (ratePerSecond * MIN_CAPACITY_MS) / 1000) * share;
 }
--- a/packages/admission/src/request-keys.ts
+++ b/packages/admission/src/request-keys.ts
@@ -1,41 +1,42 @@
 import type { Clock } from '@canvasridge/clock';
 import { HOME_EPOCH_MS } from './home-token.js';
 
-/** The answer of a request with a key, kept for resends. */
+/** The answer to a request with an idempotency key, kept for requests that repeat the key. */
 export interface StoredAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
 }
 
-/** How a request with a key ended. */
+/** How a request with an idempotency key ended. */
 export type KeyOutcome =
   | { readonly kind: 'answered'; readonly answer: StoredAnswer }
-  /** It ran, yet its answer is too large to keep. */
+  /** It ran, but its answer is too large to keep. */
   | { readonly kind: 'answer-dropped' }
-  /** Proved not to have run: the key may be used again. */
+  /** It is certain that it did not run, so the key may be used again. */
   | { readonly kind: 'not-executed' }
   | { readonly kind: 'unknown' };
 
-/** What a request with a key may do. */
+/** What a request with an idempotency key may do. */
 export type KeyClaim =
-  /** The only one that may run it; must call `settle` in the end. */
+  /** This request, and no other with the key, may run; it must call `settle` when it has ended. */
   | { readonly kind: 'run'; settle(outcome: KeyOutcome, remember?: boolean): void }
+  /** Another request with the key runs or has ended; `outcome` is its outcome. */
   | { readonly kind: 'wait'; readonly outcome: Promise<KeyOutcome> }
-  /** Another process was given the key before. */
+  /** The right to run was handed to another process. */
   | { readonly kind: 'elsewhere'; readonly process: string }
-  /** Nobody can tell what became of the key, or never again. */
+  /** The key's epoch is not stored, so it cannot be known whether a request with it ran. */
   | { readonly kind: 'unknown' }
-  /** Too many keys are remembered; the request was not run. */
+  /** The table of keys is full; the request was not run. */
   | { readonly kind: 'full' };
 
-/** Answer to another node that wants to run a request whose home is here. */
+/** Answer to another node that asks to run a request whose home is this process. */
 export const KEY_TRANSFERS = ['granted', 'known-here', 'elsewhere', 'unknown', 'full'] as const;
 export type KeyTransfer = (typeof KEY_TRANSFERS)[number];
 
 interface Entry {
   readonly outcome: Promise<KeyOutcome>;
-  /** Process to which the right to run was handed. */
+  /** Process to which the right to run was handed; undefined if it is this one. */
   readonly delegate: string | undefined;
 }
 
@@ -43,19 +44,19 @@
   readonly entries: Map<string, Entry>;
 }
 
-/** Periods remembered: the current one and those before it in which a caller may still hold a home. */
-const EPOCHS_KEPT = 2;
-const ENTRY_LIMIT = 100_000;
+/** Epochs kept: the current one, and the one before it, whose home tokens callers may still hold. */
+const KEPT_EPOCHS = 2;
+const MAX_ENTRIES = 100_000;
 
 /**
- * Idempotency keys whose home is this process. A key is run by at most one request, here or at the one
- * process to which it was handed.
+ * Idempotency keys whose home is this process. At most one request runs for each key, here or at the one
+ * process to which the right to run was handed.
  */
 export class RequestKeys {
   readonly #clock: Clock;
   readonly #epochs = new Map<number, EpochTable>();
   #entryCount = 0;
-  /** Highest period seen: it never goes back, even when the wall clock does. */
+  /** Highest epoch seen: it never goes back, even if the wall clock does. */
   #currentEpoch = 0;
 
   constructor(clock: Clock) {
@@ -63,21 +64,21 @@
     this.#advance();
   }
 
-  /** Period for homes given out now. */
+  /** Current epoch, for home tokens issued now. */
   epoch(): number {
     this.#advance();
     return this.#currentEpoch;
   }
 
-  /** A request with `key` arrived at its home. */
+  /** Decides on a request with `key` that arrived at its home, this process. */
   claim(epoch: number, key: string): KeyClaim {
     const table = this.#table(epoch);
     if (table === undefined) return { kind: 'unknown' };
     const known = table.entries.get(key);
     if (known?.delegate !== undefined) return { kind: 'elsewhere', process: known.delegate };
     if (known !== undefined) return { kind: 'wait', outcome: known.outcome };
-    if (this.#entryCount >= ENTRY_LIMIT) return { kind: 'full' };
-    return this.#open(table, key);
+    if (this.#entryCount >= MAX_ENTRIES) return { kind: 'full' };
+    return this.#openEntry(table, key);
   }
 
   /** Process to which the right to run `key` was handed, if any. */
@@ -85,32 +86,34 @@
     return this.#table(epoch)?.entries.get(key)?.delegate;
   }
 
-  /** Outcome of a key that ran or runs here. */
+  /** Outcome of a key whose request ran or runs here. */
   outcomeOf(epoch: number, key: string): Promise<KeyOutcome> | undefined {
     const entry = this.#table(epoch)?.entries.get(key);
     return entry?.delegate === undefined ? entry?.outcome : undefined;
   }
 
-  /** Hands the right to run `key` to another process, if nobody has it yet. */
+  /** Hands the right to run `key` to another process if no process has it yet. */
   transfer(epoch: number, key: string, process: string): KeyTransfer {
     const table = this.#table(epoch);
     if (table === undefined) return 'unknown';
     const known = table.entries.get(key);
-    // Asked again after an answer was lost: that process still holds the right, and knows whether it used it.
+    // The process repeats its call after an answer was lost: it still has the right, and knows whether it has
+    // used it.
     if (known?.delegate === process) return 'granted';
     if (known !== undefined) return known.delegate === undefined ? 'known-here' : 'elsewhere';
-    if (this.#entryCount >= ENTRY_LIMIT) return 'full';
+    if (this.#entryCount >= MAX_ENTRIES) return 'full';
     this.#add(table, key, { outcome: Promise.resolve({ kind: 'unknown' }), delegate: process });
     return 'granted';
   }
 
-  #open(table: EpochTable, key: string): KeyClaim {
+  #openEntry(table: EpochTable, key: string): KeyClaim {
     let resolve: (outcome: KeyOutcome) => void = () => undefined;
     const outcome = new Promise<KeyOutcome>((settled) => {
       resolve = settled;
     });
     this.#add(table, key, { outcome, delegate: undefined });
-    // Proof that nothing ran frees the key; every other outcome is remembered, unless another process does.
+    // By default the key is freed only if it is certain that nothing ran. Callers pass `remember` as false
+    // where another process stores the outcome.
     const settle = (result: KeyOutcome, remember = result.kind !== 'not-executed'): void => {
       if (!remember) this.#remove(table, key);
       resolve(result);
@@ -127,13 +130,13 @@
     if (table.entries.delete(key)) this.#entryCount -= 1;
   }
 
-  /** The table of a period, or undefined for one that is forgotten or too far ahead. */
+  /** The table of an epoch; undefined for one that was dropped or that lies too far ahead. */
   #table(epoch: number): EpochTable | undefined {
     this.#advance();
-    if (epoch <= this.#currentEpoch - EPOCHS_KEPT || epoch > this.#currentEpoch + 1) return undefined;
+    if (epoch <= this.#currentEpoch - KEPT_EPOCHS || epoch > this.#currentEpoch + 1) return undefined;
     let table = this.#epochs.get(epoch);
     if (table === undefined) {
-      // A period that was never dropped, so an absent table is an empty one.
+      // The check above excludes dropped epochs, so a missing table is one without entries.
       table = { entries: new Map() };
       this.#epochs.set(epoch, table);
     }
@@ -144,10 +147,10 @@
     const epoch = Math.floor(this.#clock.wallTime() / HOME_EPOCH_MS);
     if (epoch <= this.#currentEpoch) return;
     this.#currentEpoch = epoch;
-    for (const [old, table] of this.#epochs) {
-      if (old > this.#currentEpoch - EPOCHS_KEPT) continue;
+    for (const [storedEpoch, table] of this.#epochs) {
+      if (storedEpoch > this.#currentEpoch - KEPT_EPOCHS) continue;
       this.#entryCount -= table.entries.size;
-      this.#epochs.delete(old);
+      this.#epochs.delete(storedEpoch);
     }
   }
 }
--- a/packages/admission/src/token-bucket.ts
+++ b/packages/admission/src/token-bucket.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@canvasridge/clock';
 
-/** Token bucket: a rate with room for a burst. */
+/** Token bucket for whole requests. Rate and burst are passed to each call, so that they may change. */
 export class TokenBucket {
   readonly #clock: Clock;
   #tokens: number;
@@ -12,7 +12,7 @@
     this.#filledAtMs = clock.now();
   }
 
-  /** Takes one token; otherwise returns the seconds until there is one. */
+  /** Takes one token and returns 0; if there is none, returns the seconds until there will be. */
   take(ratePerSecond: number, burst: number): number {
     const nowMs = this.#clock.now();
     this.#tokens = Math.min(burst, this.#tokens + ((nowMs - this.#filledAtMs) / 1000) * ratePerSecond);
