--- a/packages/serving/src/announced-departures.ts
+++ b/packages/serving/src/announced-departures.ts
@@ -1,13 +1,17 @@
-/** More than a large fleet has backends; beyond it those that are not listed go first. */
-const MOST_KEPT = 1024;
+/**
+ * Maximum number of remembered backends; a large fleet has fewer. Beyond it, backends that are not listed are
+ * forgotten first.
+ */
+const MAX_REMEMBERED = 1024;
 
 /**
- * Backends that said themselves that they leave. That holds for the life of their process, by no clock: their entry in the
- * list may go on to say for many seconds that they are ready, as while the publishing store is away, and may lapse and
- * come back with it.
+ * Backends that announced in an answer that they are shutting down. An announcement has no time limit and
+ * applies as long as the backend's process lives. Its entry in the published list may say for many more
+ * seconds that it is ready, for example while the publishing store is unavailable, and may expire and be
+ * written again once the store is back.
  */
 export class AnnouncedDepartures {
-  /** The one that said so first at the front. */
+  /** In the order of the announcements. */
   readonly #ids = new Set<string>();
 
   get isEmpty(): boolean {
@@ -18,10 +22,13 @@
     return this.#ids.has(id);
   }
 
-  /** @param isListed tells which backends must not be forgotten, since they may still be chosen */
+  /**
+   * @param isListed returns whether a backend is listed: it may still be chosen for requests, so it must not
+   * be forgotten
+   */
   add(id: string, isListed: (id: string) => boolean): void {
     this.#ids.add(id);
-    if (this.#ids.size <= MOST_KEPT) return;
+    if (this.#ids.size <= MAX_REMEMBERED) return;
     for (const known of this.#ids) {
       if (isListed(known)) continue;
       this.#ids.delete(known);
--- a/packages/serving/src/backend.ts
+++ b/packages/serving/src/backend.ts
@@ -4,40 +4,40 @@
   readonly version: number;
 }
 
-/** A base model that a backend holds, with the adapters loaded on it. */
+/** A base model that a backend has loaded, with the adapters loaded on it. */
 export interface HeldModel {
   readonly name: string;
   readonly adapters: readonly HeldAdapter[];
 }
 
-/** What a backend says of itself in the published list; up to some seconds old. */
+/** A backend's description of itself in the published list; it may be some seconds old. */
 export interface BackendDescription {
   /** Changes with each start of the backend's process. */
   readonly id: string;
   readonly service: string;
-  /** `IP:port`. */
+  /** In the form `IP:port`. */
   readonly address: string;
   readonly zone: string;
   readonly state: 'ready' | 'draining';
-  /** Requests that run together. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
   readonly models: readonly HeldModel[];
 }
 
-/** What a backend says of itself in the head of an answer, whatever the answer is to and whatever it says beside. */
+/** What a backend reports about itself in the headers of any of its answers. */
 export interface BackendNotice {
-  /** This start of its process leaves: it is to be given nothing more. */
+  /** Whether this process of the backend is shutting down, so that it must be sent no further requests. */
   readonly isLeaving: boolean;
-  /** It wants nothing from this node for so long, in milliseconds; undefined where it says nothing of it. */
+  /** Time in milliseconds for which it wants no requests from this node; undefined if it reports none. */
   readonly backoffMs: number | undefined;
   /**
-   * Requests a second that it takes from all nodes together, for as long as it says so; `none` where an answer of its own work
-   * names no such limit; undefined where the answer can't tell.
+   * Requests per second that it accepts from all nodes together, until it reports otherwise; `none` if an
+   * answer of the backend itself reports no limit; undefined if the answer says nothing about it.
    */
   readonly rateLimit: number | 'none' | undefined;
 }
 
-/** Key of an adapter among all adapters of all models. */
+/** Key that is unique among the adapters of all models. */
 export function adapterKey(model: string, adapter: string): string {
   return `${model}/${adapter}`;
 }
--- a/packages/serving/src/configuration.ts
+++ b/packages/serving/src/configuration.ts
@@ -2,7 +2,7 @@
 
 /**
  * How often a request may run: `idempotent` any number of times, `at-most-once` once, `stream` once unless
- * its route is resumable. The answer of a `stream` is a series of server-sent events.
+ * its route is resumable. The answer of a `stream` is a sequence of server-sent events.
  */
 export type RouteKind = 'idempotent' | 'at-most-once' | 'stream';
 
@@ -20,19 +20,21 @@
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   readonly services: readonly WeightedService[];
-  /** Longest time that a request is held. */
+  /** Maximum time that a request may take. */
   readonly timeoutMs: number;
-  /** Time without an event after which clients give a stream up; undefined for answers in one piece. */
+  /**
+   * Time without an event after which clients give up on a stream; undefined for routes that do not stream.
+   */
   readonly patienceMs: number | undefined;
-  /** Time to the answer, or to the first event of a stream, that the operator aims for. */
+  /** Latency objective: time to the answer, or to the first event of a stream. */
   readonly objectiveMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Backends that may be given one request, at the most. */
+  /** Maximum number of backends to which one request may be sent. */
   readonly attempts: number;
-  /** Whether a broken stream may go on at another backend. */
+  /** Whether an interrupted stream may be continued by another backend. */
   readonly resumable: boolean;
-  /** Whether requests without a key run where the configuration names tenants. */
+  /** Whether requests without a key are accepted even if the configuration defines tenants. */
   readonly isPublic: boolean;
 }
 
@@ -43,28 +45,28 @@
   readonly adapterMb: number;
 }
 
-/** What the backends of a service offer if they are model engines. */
+/** Properties of a service's backends that are model engines. */
 export interface EngineProfile {
   readonly models: readonly ModelProfile[];
-  /** Adapters that one backend holds at a time, at the most. */
+  /** Maximum number of adapters that one backend holds at a time. */
   readonly adapterSlots: number;
-  /** Memory for weights and adapters of one backend. */
+  /** Memory of one backend for weights and adapters. */
   readonly memoryMb: number;
-  /** Requests that run together in one backend. */
+  /** Requests that one backend runs concurrently. */
   readonly batchSlots: number;
-  /** Loads that the weight store allows in a second, for all backends together. */
+  /** Loads per second that the weight store allows for all backends together. */
   readonly storeLoadsPerSecond: number;
 }
 
-/** A set of backends that are alike. */
+/** A set of interchangeable backends. */
 export interface BackendService {
   readonly name: string;
-  /** Connections that one backend accepts from all callers together. */
+  /** Maximum number of connections to one backend from all callers together. */
   readonly maxConnections: number;
   readonly engine: EngineProfile | undefined;
 }
 
-/** Bounds of what a client may send and how long it may rest. */
+/** Limits on the size of client requests and on the time that clients take to send them. */
 export interface RequestLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -72,12 +74,12 @@
   readonly idleTimeoutMs: number;
 }
 
-/** The whole configuration in one version. Versions rise. */
+/** One version of the whole configuration. A newer configuration has a higher version. */
 export interface ServingConfiguration {
   readonly version: number;
   readonly routes: readonly HttpRoute[];
   readonly services: readonly BackendService[];
   readonly limits: RequestLimits;
-  /** Undefined if requests need no key. An empty list allows nobody but on public routes. */
+  /** Undefined if requests need no key. With an empty list, only public routes can be used. */
   readonly tenants: readonly Tenant[] | undefined;
 }
--- a/packages/serving/src/departed-backends.ts
+++ b/packages/serving/src/departed-backends.ts
@@ -1,62 +1,74 @@
-/** Several times what leaves a large fleet within the time in which others may still name it. */
-const MOST_KEPT = 1024;
+/** Several times the number of backends that leave a large fleet while peers may still list them. */
+const MAX_REMEMBERED = 1024;
 
 /**
- * Backends that left the list, each with the revision of the publishing store up to which that is known. A backend
- * whose entry comes back with a higher revision, as after a lapse, is there again; an older entry of it, as a peer
- * that is behind still lists it, says nothing new. Once the store has come back from a copy, its list may hold those that had
- * left before, until they lapse again.
+ * Backends that were removed from the published list, each with the revision of the publishing store as of
+ * which it was absent. An entry with a higher revision, such as one that was written again after it had
+ * expired, lists the backend again; an older entry, from a peer that is behind, is ignored. A store that was
+ * restored from a backup may list backends that had left before the restore, until their entries expire
+ * again.
  */
 export class DepartedBackends {
-  /** By id, the one that left first at the front. */
+  /** By id, in the order of removal. */
   readonly #revisions = new Map<string, number>();
-  /** Those that had left when the store came back from a copy, until the end of their return. */
-  readonly #beforeEra = new Set<string>();
+  /**
+   * Backends that had left when the store was restored from a backup; cleared when their restored entries
+   * must have expired.
+   */
+  readonly #leftBeforeRestore = new Set<string>();
 
   has(id: string): boolean {
-    return this.#revisions.has(id) || this.#beforeEra.has(id);
+    return this.#revisions.has(id) || this.#leftBeforeRestore.has(id);
   }
 
-  /** Whether a backend had left before the store came back from a copy, which may list it. */
-  hadLeftBefore(id: string): boolean {
-    return this.#beforeEra.has(id);
+  /** Whether a backend had left before the store was restored from a backup, which may list it again. */
+  hadLeftBeforeRestore(id: string): boolean {
+    return this.#leftBeforeRestore.has(id);
   }
 
-  /** Whether the list may hold backends that had left. */
-  get isReturning(): boolean {
-    return this.#beforeEra.size > 0;
+  /** Whether the list may hold entries, restored from a backup, of backends that had left. */
+  get mayListDeparted(): boolean {
+    return this.#leftBeforeRestore.size > 0;
   }
 
-  /** The store has come back from a copy: revisions begin anew. */
+  /**
+   * Called when the store was restored from a backup: revisions of the new era are not comparable with
+   * earlier ones.
+   */
   beginEra(): void {
     for (const id of this.#revisions.keys()) {
-      this.#beforeEra.add(id);
+      this.#leftBeforeRestore.add(id);
       this.#revisions.set(id, 0);
     }
   }
 
-  /** Backends that are still listed live. Returns those that had left before the store came back. */
-  endReturn(): readonly string[] {
-    const ended = [...this.#beforeEra];
-    this.#beforeEra.clear();
-    return ended;
+  /**
+   * Called when the entries of dead backends must have expired after a restore, so that all backends still
+   * listed are alive.
+   * @returns the backends that had left before the restore
+   */
+  endRestore(): readonly string[] {
+    const returning = [...this.#leftBeforeRestore];
+    this.#leftBeforeRestore.clear();
+    return returning;
   }
 
-  /** Whether an entry was written before its backend left. */
+  /** Whether an entry is older than the removal of its backend. */
   isOutdated(id: string, revision: number): boolean {
     return revision <= (this.#revisions.get(id) ?? -Infinity);
   }
 
-  note(id: string, revision: number): void {
+  /** Records that a backend is absent from the list as of `revision`. */
+  record(id: string, revision: number): void {
     const known = this.#revisions.get(id) ?? -Infinity;
     this.#revisions.delete(id);
     this.#revisions.set(id, Math.max(known, revision));
-    if (this.#revisions.size <= MOST_KEPT) return;
+    if (this.#revisions.size <= MAX_REMEMBERED) return;
     const oldest = this.#revisions.keys().next();
     if (oldest.done !== true) this.#revisions.delete(oldest.value);
   }
 
-  /** The backend is listed again. */
+  /** Called when the backend is listed again. */
   forget(id: string): void {
     this.#revisions.delete(id);
   }
--- a/packages/serving/src/fleet-state.ts
+++ b/packages/serving/src/fleet-state.ts
@@ -18,23 +18,32 @@
 
 type ChangeListener = (change: FleetChange) => void;
 
-/** A backend that has to be given nothing more: it said that it leaves, or its entry is gone from the list. */
+/**
+ * A backend that must be sent no further requests: it is shutting down, or its entry was removed from the
+ * list.
+ */
 export interface Departure {
   readonly id: string;
   readonly state: 'draining' | 'gone';
-  /** Revision of the publishing store at which it was told, or up to which the list was known when the backend said so itself. */
+  /**
+   * Revision of the publishing store with this change of the list; if the backend announced its shutdown
+   * itself, the revision of the list known at that time.
+   */
   readonly revision: number;
   readonly via: DepartureSource;
 }
 
-/** Who told of a leaving: the `list`, an `answer` of the backend to this node, or a `peer` to which it answered so. */
+/**
+ * Source of a departure: the published `list`, an `answer` of the backend to this node, or a `peer` that got
+ * such an answer.
+ */
 export type DepartureSource = 'list' | 'answer' | 'peer';
 
 type DepartureListener = (departure: Departure) => void;
 
-/** The publishing store came back from a copy. */
+/** Change of the publishing store's era, which happens when it is restored from a backup. */
 export interface NewEra {
-  /** `NO_ERA` if none was named. */
+  /** `NO_ERA` if the store had not published one. */
   readonly from: number;
   readonly to: number;
 }
@@ -42,9 +51,10 @@
 type EraListener = (era: NewEra) => void;
 
 /**
- * What this node knows of the published state. Nothing goes back: of two configurations, adapter versions
- * or entries of a backend the newer one rules, whichever way and in whichever order they arrive. All revisions are of one era
- * of the publishing store; what was known before it counts as older than all that is read in it.
+ * This node's view of the published state. It never goes back: of two configurations, adapter versions or
+ * entries of a backend, the newer one is kept, whatever their source and order of arrival. All revisions
+ * belong to one era of the publishing store; what was known from earlier eras counts as older than everything
+ * read in this one.
  */
 export class FleetState {
   readonly #listeners: ChangeListener[] = [];
@@ -67,24 +77,28 @@
     this.#listeners.push(listener);
   }
 
-  /** Calls back once for each state in which a listed backend is found to leave. */
+  /** Calls `listener` when a backend is found to be draining, and when its entry is removed from the list. */
   onDeparture(listener: DepartureListener): void {
     this.#departureListeners.push(listener);
   }
 
-  /** Calls back when what is known is of an earlier era, and has to be read again. */
+  /** Calls `listener` when a new era begins, so that the published state has to be read again. */
   onNewEra(listener: EraListener): void {
     this.#eraListeners.push(listener);
   }
 
-  /** Era of the publishing store to which revisions here belong; `NO_ERA` if it names none. */
+  /**
+   * Era of the publishing store to which the revisions here belong; `NO_ERA` if the store has not published
+   * one.
+   */
   get era(): number {
     return this.#era.current;
   }
 
   /**
-   * The publishing store is in this era. If that is a new one, a backend that said it leaves still does, and one that had left is
-   * not given anything until {@link endReturn}: the copy may list both as ready.
+   * Called with the era of the publishing store. In a new era, the list was restored from a backup and may
+   * contain as ready both backends that have announced their shutdown and backends that had left. The former
+   * keep counting as draining, and the latter count as draining until {@link endRestore}.
    */
   enterEra(to: number): void {
     const from = this.#era.current;
@@ -101,8 +115,8 @@
   }
 
   /**
-   * Takes note of the era in which a peer tells of the published state.
-   * @returns false if it is an earlier one, so that what the peer holds must not be taken
+   * Enters the era of a peer's published state if it is newer.
+   * @returns false if the peer's era is an earlier one, so that its state must not be applied
    */
   admitEra(era: number | undefined): boolean {
     const order = this.#era.compare(era);
@@ -110,29 +124,33 @@
     return order >= 0;
   }
 
-  /** By now the entries of backends that are gone have lapsed in the new era too: those that are still listed live. */
-  endReturn(): readonly string[] {
-    const listed = this.#departed.endReturn().filter((id) => this.#backends.has(id));
-    if (listed.length > 0) this.#backendsChanged(this.#backendsRevision);
+  /**
+   * Called when the entries of dead backends must have expired in the new era, so that all backends still
+   * listed are alive.
+   * @returns listed backends that had left before the era and may be used again
+   */
+  endRestore(): readonly string[] {
+    const listed = this.#departed.endRestore().filter((id) => this.#backends.has(id));
+    if (listed.length > 0) this.#updateIndex(this.#backendsRevision);
     return listed;
   }
 
-  /** Whether the list of backends here is not older than that of a peer. */
+  /** Whether the list of backends here is at least as new as `point`. */
   backendsReach(point: PublishedPoint): boolean {
-    return this.#reaches(this.#backendsRevision, point);
+    return this.#isUpToDate(this.#backendsRevision, point);
   }
 
-  /** The same for the entries of the operators. */
+  /** Whether the entries written by operators that are known here are at least as new as `point`. */
   operatorReaches(point: PublishedPoint): boolean {
-    return this.#reaches(this.#operatorRevision, point);
+    return this.#isUpToDate(this.#operatorRevision, point);
   }
 
-  #reaches(ownRevision: number, { era, revision }: PublishedPoint): boolean {
+  #isUpToDate(ownRevision: number, { era, revision }: PublishedPoint): boolean {
     const order = this.#era.compare(era);
     return order < 0 || (order === 0 && ownRevision >= revision);
   }
 
-  /** Whether the list of backends was ever read here, or taken over from a peer. */
+  /** Whether the list of backends was ever read here or received from a peer. */
   get isListKnown(): boolean {
     return this.#isListKnown;
   }
@@ -152,31 +170,34 @@
   }
 
   /**
-   * Tells whether two nodes hold the same list of backends, as far as routing needs it. A revision of the store does
-   * not: a removal may be applied later than what was written after it.
+   * Equal on two nodes that hold the same list of backends, as far as routing needs it. Revisions of the
+   * store cannot tell that, as a deferred removal is applied later than entries written after it.
    */
   get routingDigest(): number {
     return this.#routingDigest.value;
   }
 
-  /** Tells whether two nodes hold the same entries of the operators; the configuration has its version for that. */
+  /**
+   * Equal on two nodes that hold the same entries written by operators, except for the configuration, which
+   * has a version.
+   */
   get operatorDigest(): number {
     return this.#operatorDigest.value;
   }
 
-  /** Revision of the newest entry of the operators that is known. */
+  /** Revision of the newest known entry written by operators. */
   get operatorRevision(): number {
     return this.#operatorRevision;
   }
 
-  /** An entry of the operators was taken over that stands at this revision. */
+  /** Called when an entry written by operators at this revision was applied. */
   confirmOperatorState(revision: number): void {
     this.#operatorRevision = Math.max(this.#operatorRevision, revision);
   }
 
   backend(id: string): BackendDescription | undefined {
     const entry = this.#backends.get(id);
-    return entry === undefined ? undefined : this.#asKnown(entry.value);
+    return entry === undefined ? undefined : this.#effective(entry.value);
   }
 
   /** Revision of a listed backend's entry. */
@@ -184,55 +205,61 @@
     return this.#backends.get(id)?.revision;
   }
 
-  /** Whether a backend is known to leave or to have left, so that it must be given nothing more. */
+  /** Whether a backend is shutting down or has left, so that it must be sent no further requests. */
   isLeaving(id: string): boolean {
-    const isKnownToLeave = this.#departed.has(id) || this.#announced.has(id);
-    return isKnownToLeave || this.#backends.get(id)?.value.state === 'draining';
+    const hasDepartureNotice = this.#departed.has(id) || this.#announced.has(id);
+    return hasDepartureNotice || this.#backends.get(id)?.value.state === 'draining';
   }
 
-  /** Whether a backend said itself that it leaves. */
+  /** Whether a backend has announced its shutdown itself. */
   hasAnnounced(id: string): boolean {
     return this.#announced.has(id);
   }
 
-  /** Backends of a service that are known to leave though they are listed as ready, so that others may not know. */
+  /**
+   * Backends of a service that count as draining here although listed as ready, so that other nodes may not
+   * know.
+   */
   unlistedDepartures(service: string): readonly string[] {
-    if (this.#announced.isEmpty && !this.#departed.isReturning) return [];
-    const isUntold = ({ id }: BackendDescription): boolean =>
-      this.#isCorrected(id) && this.#backends.get(id)?.value.state === 'ready';
+    if (this.#announced.isEmpty && !this.#departed.mayListDeparted) return [];
+    const isUnlistedDeparture = ({ id }: BackendDescription): boolean =>
+      this.#isListedStateOverridden(id) && this.#backends.get(id)?.value.state === 'ready';
     return this.backendsOf(service)
-      .filter(isUntold)
+      .filter(isUnlistedDeparture)
       .map(({ id }) => id);
   }
 
-  /** A backend said itself that it leaves: it counts as draining as long as its process lives, whatever the list says. */
+  /**
+   * Called when a backend has announced its shutdown: it counts as draining from now on, whatever the list
+   * says.
+   */
   noteAnnounced(id: string, via: DepartureSource): void {
     if (this.#announced.has(id)) return;
     const wasLeaving = this.isLeaving(id);
     this.#announced.add(id, (known) => this.#backends.has(known));
     if (wasLeaving) return;
     this.#notifyDeparture({ id, state: 'draining', revision: this.#backendsRevision, via });
-    this.#backendsChanged(this.#backendsRevision);
+    this.#updateIndex(this.#backendsRevision);
   }
 
-  /** Listed backends of a service, leaving ones included. */
+  /** Listed backends of a service, including those that are shutting down. */
   backendsOf(service: string): readonly BackendDescription[] {
     return this.#backendsByService.get(service) ?? [];
   }
 
   *allBackends(): Iterable<Revised<BackendDescription>> {
     for (const entry of this.#backends.values()) {
-      const value = this.#asKnown(entry.value);
+      const value = this.#effective(entry.value);
       yield value === entry.value ? entry : { ...entry, value };
     }
   }
 
-  /** The published version of an adapter, 0 if none was named. */
+  /** The published version of an adapter, 0 if none is known. */
   adapterVersion(model: string, adapter: string): number {
     return this.#adapterVersions.get(adapterKey(model, adapter))?.version ?? 0;
   }
 
-  /** Takes a configuration over unless a newer one is known. Returns whether it was taken. */
+  /** Applies a configuration if it is newer than the one in force. Returns whether it was applied. */
   applyConfiguration(configuration: ServingConfiguration): boolean {
     if (configuration.version <= this.configurationVersion) return false;
     this.#routes = new RouteTable(configuration);
@@ -250,41 +277,41 @@
   }
 
   applyBackend(revision: number, value: BackendDescription): void {
-    if (!this.#isNews({ revision, value })) return;
-    this.#take({ revision, value });
-    this.#backendsChanged(revision);
+    if (!this.#isNewer({ revision, value })) return;
+    this.#storeEntry({ revision, value });
+    this.#updateIndex(revision);
   }
 
   removeBackend(revision: number, id: string): void {
     const known = this.#backends.get(id);
     if (known !== undefined && known.revision >= revision) return;
-    if (known === undefined) this.#departed.note(id, revision);
+    if (known === undefined) this.#departed.record(id, revision);
     else {
-      this.#remove(id, revision);
-      this.#backendsChanged(revision);
+      this.#removeEntry(id, revision);
+      this.#updateIndex(revision);
     }
   }
 
-  /** The whole list as of `revision`: entries that it lacks are gone, unless they are newer than it. */
+  /** Applies the whole list as of `revision`: entries that it lacks are removed, unless they are newer. */
   replaceBackends(revision: number, entries: readonly Revised<BackendDescription>[]): void {
     if (revision < this.#backendsRevision) return;
     const listed = new Set(entries.map((entry) => entry.value.id));
     for (const [id, known] of this.#backends) {
-      if (!listed.has(id) && known.revision <= revision) this.#remove(id, revision);
+      if (!listed.has(id) && known.revision <= revision) this.#removeEntry(id, revision);
     }
     for (const entry of entries) {
-      if (this.#isNews(entry)) this.#take(entry);
+      if (this.#isNewer(entry)) this.#storeEntry(entry);
     }
-    this.#backendsChanged(revision);
+    this.#updateIndex(revision);
   }
 
-  /** Nothing changed up to `revision`. */
+  /** Called when the list of backends is known to be complete as of `revision`. */
   confirmBackends(revision: number): void {
     this.#backendsRevision = Math.max(this.#backendsRevision, revision);
     this.#isListKnown ||= revision > 0;
   }
 
-  /** What peers need that do not read the list of backends themselves. */
+  /** The list of backends for peers that do not read it from the store themselves. */
   listing(): BackendListing {
     return {
       era: this.era,
@@ -293,7 +320,7 @@
     };
   }
 
-  /** Takes over the listing of a peer that reads the list of backends. */
+  /** Applies the listing of a peer that reads the list of backends from the store. */
   applyListing(listing: BackendListing): void {
     if (this.admitEra(listing.era)) this.replaceBackends(listing.revision, listing.backends);
   }
@@ -322,7 +349,7 @@
     };
   }
 
-  /** Takes over what is newer in the view of a peer. */
+  /** Applies what is newer in the snapshot of a peer. */
   merge(snapshot: FleetSnapshot): void {
     if (snapshot.configuration !== undefined) this.applyConfiguration(snapshot.configuration);
     for (const published of snapshot.adapterVersions) this.applyAdapterVersion(published);
@@ -332,28 +359,30 @@
   }
 
   /**
-   * What the list says, corrected by what else is known of the backend. Peers are sent the list as it was published: it has
-   * to be the same on all that hold the same revision.
+   * A listed backend with its effective state: `draining` if this node knows that it is shutting down or may
+   * have left. Peers are sent the list as published instead, as it must be the same on all nodes that hold
+   * the same revision.
    */
-  #asKnown(listed: BackendDescription): BackendDescription {
-    return this.#isCorrected(listed.id) ? { ...listed, state: 'draining' } : listed;
+  #effective(listed: BackendDescription): BackendDescription {
+    return this.#isListedStateOverridden(listed.id) ? { ...listed, state: 'draining' } : listed;
   }
 
-  #isCorrected(id: string): boolean {
-    return this.#announced.has(id) || this.#departed.hadLeftBefore(id);
+  #isListedStateOverridden(id: string): boolean {
+    return this.#announced.has(id) || this.#departed.hadLeftBeforeRestore(id);
   }
 
-  /** Whether an entry says more than what is known of its backend, its departure included. */
-  #isNews(entry: Revised<BackendDescription>): boolean {
+  /** Whether an entry is newer than what is known of its backend, including a removal. */
+  #isNewer(entry: Revised<BackendDescription>): boolean {
     const { id } = entry.value;
     const known = this.#backends.get(id);
     if (known !== undefined) return supersedes(entry, known);
     return !this.#departed.isOutdated(id, entry.revision);
   }
 
-  #take(entry: Revised<BackendDescription>): void {
+  /** Stores a newer entry, without updating the index by service. */
+  #storeEntry(entry: Revised<BackendDescription>): void {
     const { id } = entry.value;
-    const { state } = this.#asKnown(entry.value);
+    const { state } = this.#effective(entry.value);
     const stateBefore = this.backend(id)?.state;
     this.#backends.set(id, entry);
     this.#departed.forget(id);
@@ -363,18 +392,18 @@
     }
   }
 
-  #remove(id: string, revision: number): void {
+  #removeEntry(id: string, revision: number): void {
     this.#backends.delete(id);
-    this.#departed.note(id, revision);
+    this.#departed.record(id, revision);
     this.#routingDigest.delete(id);
     this.#notifyDeparture({ id, state: 'gone', revision, via: 'list' });
   }
 
-  #backendsChanged(revision: number): void {
+  #updateIndex(revision: number): void {
     this.confirmBackends(revision);
     this.#backendsByService.clear();
     for (const { value: listed } of this.#backends.values()) {
-      const value = this.#asKnown(listed);
+      const value = this.#effective(listed);
       const group = this.#backendsByService.get(value.service);
       if (group === undefined) this.#backendsByService.set(value.service, [value]);
       else group.push(value);
@@ -396,7 +425,7 @@
   return known.partial === true && entry.partial !== true;
 }
 
-/** What routing needs of a description: all but the adapters that the backend holds. */
+/** The parts of a description that routing needs: everything except the loaded adapters. */
 function routingContent(backend: BackendDescription): string {
   const { service, address, zone, state, slots, models } = backend;
   return JSON.stringify([service, address, zone, state, slots, models.map((model) => model.name)]);
--- a/packages/serving/src/index.ts
+++ b/packages/serving/src/index.ts
@@ -1,4 +1,4 @@
-/** Routes, services, backends, and what a node knows of the published state. */
+/** Routes, services and backends, and a node's view of the published state. */
 export type {
   BackendService,
   EngineProfile,
@@ -18,7 +18,7 @@
   type HeldAdapter,
   type HeldModel,
 } from './backend.js';
-export { BackendLapses, RETURN_WINDOW_MS, type HeldRemoval } from './backend-lapses.js';
+export { BackendLapses, RETURN_WINDOW_MS, type DeferredRemoval } from './backend-list-updater.js';
 export {
   FleetState,
   type Departure,
--- a/packages/serving/src/published.ts
+++ b/packages/serving/src/published.ts
@@ -5,7 +5,10 @@
 export interface Revised<T> {
   readonly revision: number;
   readonly value: T;
-  /** Some of what was written is left out, so that the whole entry of the same revision rules. */
+  /**
+   * Whether parts of the written value are left out; a complete entry of the same revision then takes
+   * precedence.
+   */
   readonly partial?: boolean;
 }
 
@@ -16,36 +19,39 @@
   readonly version: number;
 }
 
-/** A point in the history of the publishing store. Revisions of two eras can't be compared. */
+/** A point in the history of the publishing store. Revisions of different eras cannot be compared. */
 export interface PublishedPoint {
-  /** `NO_ERA` where the store has named none; absent from a build that reads none. */
+  /**
+   * `NO_ERA` if the store has not published an era; absent in messages of older builds, which do not know
+   * eras.
+   */
   readonly era?: number | undefined;
   readonly revision: number;
 }
 
-/** All that was published, as one node knows it; sent to peers whose own view is older. */
+/** One node's view of everything published; sent to peers whose own view is older. */
 export interface FleetSnapshot {
   /** Era of both revisions; see {@link PublishedPoint}. */
   readonly era?: number | undefined;
-  /** Revision of the newest entry of the operators that is part of it. */
+  /** Revision of the newest entry written by operators that is included. */
   readonly operatorRevision: number;
   readonly configuration: ServingConfiguration | undefined;
   readonly adapterVersions: readonly AdapterVersion[];
-  /** Revision up to which the list of backends is complete. */
+  /** Revision as of which the list of backends is complete. */
   readonly backendsRevision: number;
   readonly backends: readonly Revised<BackendDescription>[];
 }
 
-/** What a node needs for routing of the list of backends: all but the adapters that they hold. */
+/** The part of the list of backends that a node needs for routing: everything except the loaded adapters. */
 export interface BackendListing extends PublishedPoint {
-  /** Revision up to which the list is complete. */
+  /** Revision as of which the list is complete. */
   readonly revision: number;
   readonly backends: readonly Revised<BackendDescription>[];
 }
 
-/** What operators published beside the list of backends and the configuration, which may be large. */
+/** What operators published, except for the configuration, which may be large. */
 export interface OperatorState extends PublishedPoint {
-  /** Revision of the newest entry that is part of it. */
+  /** Revision of the newest entry that is included. */
   readonly revision: number;
   readonly adapterVersions: readonly AdapterVersion[];
 }
--- a/packages/serving/src/publishing-era.ts
+++ b/packages/serving/src/publishing-era.ts
@@ -1,38 +1,38 @@
-/** The era of a store that names none, which is older than each that is named. */
+/** Era of a store that has not published one; it counts as older than every published era. */
 export const NO_ERA = -1;
 
 /**
- * The era of the publishing store that a node's revisions belong to. The store begins a new one when it comes back from a
- * copy: revisions go back, and are given out again.
+ * The era of the publishing store to which a node's revisions belong. Each restore of the store from a backup
+ * begins a new era, as revisions then go back and are assigned a second time.
  */
 export class PublishingEra {
   #current = NO_ERA;
-  /** What a node of a build that reads no era tells counts as of this one. */
-  #unnamed = NO_ERA;
+  /** Era assumed for peers of older builds, which do not know eras. */
+  #assumedForUnnamed = NO_ERA;
 
   get current(): number {
     return this.#current;
   }
 
   /**
-   * Enters an era unless it is no newer than the one before.
-   * @param isFirst whether nothing is known of an earlier one
-   * @returns whether it was entered
+   * Enters an era if it is newer than the current one.
+   * @param isFirst whether nothing is known from an earlier era
+   * @returns whether the era was entered
    */
   enter(era: number, isFirst: boolean): boolean {
     if (era <= this.#current) return false;
     this.#current = era;
-    if (isFirst) this.#unnamed = era;
+    if (isFirst) this.#assumedForUnnamed = era;
     return true;
   }
 
   /**
-   * How the era of a peer relates to this node's: negative for an older one, positive for a newer one. A peer of a build that
-   * reads none goes by revisions alone: it is believed only until a new era begins. What is no whole number counts as older
-   * than all.
+   * Compares the era of a peer with this node's: negative for an older one, positive for a newer one. A peer
+   * of an older build, which does not know eras, names none and compares revisions alone; what it sends
+   * counts as current until a new era begins. A value that is not an integer counts as older than all eras.
    */
   compare(era: number | undefined): number {
-    const told = era === undefined ? this.#unnamed : era;
-    return Number.isSafeInteger(told) ? told - this.#current : -Infinity;
+    const peerEra = era === undefined ? this.#assumedForUnnamed : era;
+    return Number.isSafeInteger(peerEra) ? peerEra - this.#current : -Infinity;
   }
 }
--- a/packages/serving/src/route-table.ts
+++ b/packages/serving/src/route-table.ts
@@ -2,8 +2,8 @@
 import type { BackendService, HttpRoute, ServingConfiguration, WeightedService } from './configuration.js';
 
 /**
- * Looks up routes of one configuration by host and longest path prefix. Prefixes end with a slash, so a
- * path is looked up once for each of its slashes, whatever the number of routes.
+ * Finds the routes of one configuration by host and longest path prefix. Prefixes end with a slash, so a
+ * search takes at most one lookup for each slash of the path, regardless of the number of routes.
  */
 export class RouteTable {
   readonly configuration: ServingConfiguration;
@@ -20,7 +20,7 @@
     for (const service of configuration.services) this.#services.set(service.name, service);
   }
 
-  /** The route of a request, or undefined. `host` may carry a port; `target` may carry a query. */
+  /** The route of a request, or undefined. `host` may include a port; `target` may include a query. */
   find(host: string, target: string): HttpRoute | undefined {
     const routes = this.#routesByHost.get(hostName(host));
     if (routes === undefined) return undefined;
@@ -48,7 +48,7 @@
   }
 }
 
-/** Picks a service by weight; `fraction` is uniform in [0, 1). */
+/** Picks a service at random by weight; `fraction` is a uniform random number in [0, 1). */
 export function pickService(services: readonly WeightedService[], fraction: number): string | undefined {
   let total = 0;
   for (const { weight } of services) total += weight;
--- a/packages/serving/src/set-digest.ts
+++ b/packages/serving/src/set-digest.ts
@@ -4,8 +4,8 @@
 const MODULUS = 2 ** (8 * HASH_BYTES);
 
 /**
- * A number that tells whether two sets of entries are the same, in whichever order and by whichever steps they came
- * about: the sum of the entries' hashes, modulo 2^48. Kept up to date entry by entry.
+ * Digest of a set of entries that does not depend on the order in which they were added, changed and removed:
+ * the sum of the entries' hashes modulo 2^48. It is updated incrementally with each entry.
  */
 export class SetDigest {
   readonly #hashes = new Map<string, number>();
@@ -15,19 +15,19 @@
     return this.#value;
   }
 
-  /** Adds an entry, or takes its new content in place of the old one. */
+  /** Adds an entry or replaces its content. */
   put(key: string, content: string): void {
     this.delete(key);
     const hash = createHash('sha1').update(key).update('\0').update(content).digest();
-    const number = hash.readUIntBE(0, HASH_BYTES);
-    this.#hashes.set(key, number);
-    this.#value = (this.#value + number) % MODULUS;
+    const entryHash = hash.readUIntBE(0, HASH_BYTES);
+    this.#hashes.set(key, entryHash);
+    this.#value = (this.#value + entryHash) % MODULUS;
   }
 
   delete(key: string): void {
-    const number = this.#hashes.get(key);
-    if (number === undefined) return;
+    const entryHash = this.#hashes.get(key);
+    if (entryHash === undefined) return;
     this.#hashes.delete(key);
-    this.#value = (this.#value - number + MODULUS) % MODULUS;
+    this.#value = (this.#value - entryHash + MODULUS) % MODULUS;
   }
 }
--- a/packages/serving/src/tenants.ts
+++ b/packages/serving/src/tenants.ts
@@ -1,42 +1,45 @@
-/** What a tenant may ask for over all nodes together. */
+/** Quota of a tenant over all nodes together. */
 export interface TenantQuota {
-  /** What is counted: whole requests, or the tokens of their prompts and answers. */
+  /** What is counted: requests, or the tokens of their prompts and answers. */
   readonly unit: 'requests' | 'tokens';
-  /** Units a second that are allowed without end. */
+  /** Sustained rate, in units per second. */
   readonly ratePerSecond: number;
-  /** Units that are allowed at once beside the rate. */
+  /** Units that may be used at once on top of the rate. */
   readonly burst: number;
-  /** What a request counts for that names no tokens, where tokens are counted. */
+  /** If tokens are counted, the number assumed for a request that does not state any. */
   readonly plainTokens: number;
 }
 
-/** A group of callers with keys of its own. */
+/** A group of callers that share API keys, a priority and a quota. */
 export interface Tenant {
   readonly name: string;
-  /** Secrets that name the tenant in requests; never logged. */
+  /** Secret keys that identify the tenant in requests; never logged. */
   readonly keys: readonly string[];
-  /** Takes the place of the route's priority; undefined to leave that as it is. */
+  /** Overrides the priority of the route; undefined to keep that. */
   readonly priority: number | undefined;
   /** Undefined for no limit. */
   readonly quota: TenantQuota | undefined;
-  /** What of its entry could not be understood. It may restrict, so nothing is run for such a tenant. */
+  /**
+   * The part of its entry that could not be parsed, if any. It may be a restriction, so the tenant's requests
+   * are refused.
+   */
   readonly problem: string | undefined;
 }
 
-/** Why a key gives no right to run a request. */
+/** Why a request with a key is refused. */
 export type KeyProblem =
-  /** No tenant holds it. */
+  /** No tenant has it. */
   | 'unknown-key'
-  /** Several tenants hold it, so that it names none. */
+  /** Several tenants have it, so it does not identify one. */
   | 'ambiguous-key'
-  /** Its tenant's entry could not be understood. */
+  /** The entry of its tenant could not be parsed. */
   | 'unreadable-tenant';
 
 export type KeyLookup =
   | { readonly kind: 'tenant'; readonly tenant: Tenant }
   | { readonly kind: 'problem'; readonly problem: KeyProblem };
 
-/** The tenants of one configuration, by their keys. */
+/** The tenants of one configuration, indexed by key and by name. */
 export class TenantTable {
   readonly #byKey = new Map<string, Tenant | 'ambiguous'>();
   readonly #byName = new Map<string, Tenant>();
