--- a/packages/clock/src/backoff.ts
+++ b/packages/clock/src/backoff.ts
@@ -1,19 +1,19 @@
 import type { Random } from './random.js';
 
-/** Limits of an exponential backoff, in milliseconds. */
+/** Bounds of an exponential backoff, in milliseconds. */
 export interface BackoffOptions {
   readonly initialMs: number;
   readonly maximumMs: number;
 }
 
-/** `delayMs` spread evenly over plus or minus half of itself. */
+/** Returns `delayMs` with jitter: a uniform random value between half and one and a half times the delay. */
 export function jittered(delayMs: number, random: Random): number {
   return delayMs * (0.5 + random.next());
 }
 
 /**
- * Exponential backoff with full jitter: each delay is uniform below a bound that doubles, so callers
- * that failed together do not come back together.
+ * Exponential backoff with jitter: each delay is uniform between half of a bound and the bound, which doubles
+ * with each failure. So callers that failed at the same time do not retry at the same time.
  */
 export class Backoff {
   readonly #options: BackoffOptions;
@@ -25,7 +25,7 @@
     this.#random = random;
   }
 
-  /** Delay before the next try, in milliseconds. */
+  /** Delay before the next attempt, in milliseconds. */
   nextDelayMs(): number {
     const bound = Math.min(this.#options.maximumMs, this.#options.initialMs * 2 ** this.#failures);
     this.#failures += 1;
--- a/packages/clock/src/clock.ts
+++ b/packages/clock/src/clock.ts
@@ -1,18 +1,23 @@
-/** A pending callback that can be withdrawn. */
+/** A scheduled callback that can be cancelled. */
 export interface Timer {
-  /** Withdraws the callback; does nothing once it has run. */
+  /** Cancels the callback; does nothing once it has run. */
   cancel(): void;
 }
 
-/** Source of time. Production uses the system; experiments use virtual time. */
+/** Source of time: the system clock in production, virtual time in tests and simulations. */
 export interface Clock {
-  /** Monotonic time in milliseconds; the zero point has no meaning. It may stand still while the machine is suspended. */
+  /**
+   * Monotonic time in milliseconds, with an arbitrary zero point. It may stop while the machine is suspended.
+   */
   now(): number;
-  /** Wall-clock time in milliseconds since the Unix epoch: for display, records, and numbers that are to rise over restarts. */
+  /**
+   * Wall-clock time in milliseconds since the Unix epoch: for display, records, and numbers that must
+   * increase across restarts.
+   */
   wallTime(): number;
   /**
-   * Time since the machine started in milliseconds, suspensions included, in steps of 10; absent where there is no such
-   * clock. Takes some 10 microseconds to read.
+   * Time since the machine booted in milliseconds, including suspensions, with a resolution of 10; undefined
+   * if there is no such clock. A read takes some 10 microseconds.
    */
   uptimeMs?(): number;
   /** Calls `callback` once after `delayMs` milliseconds. */
--- a/packages/clock/src/continuous-clock.ts
+++ b/packages/clock/src/continuous-clock.ts
@@ -1,46 +1,53 @@
 import type { Clock, Timer } from './clock.js';
 
-/** Larger than the steps of the clocks (1 and 10 ms) and what they drift apart in a second. */
+/** Larger than the resolutions of the clocks (1 and 10 ms) and their relative drift in one second. */
 const TOLERANCE_MS = 30;
-/** Period in which drift is taken up. */
-const CHECK_MS = 1000;
-/** After so many looks in which it kept step, the machine's uptime is believed: in some containers it is another machine's. */
-const BELIEVED_AFTER = 30;
+/** Interval at which the offsets between the clocks are updated, so that drift does not accumulate. */
+const CHECK_INTERVAL_MS = 1000;
+/**
+ * The uptime is trusted after this many consistent checks in a row: in some containers it is that of another
+ * machine.
+ */
+const TRUSTED_AFTER_CHECKS = 30;
 
 /**
- * Time that goes on while the machine is suspended, for what this process may do or believe until a time has passed: its own
- * leases, the age of what it was told. The steady clock (CLOCK_MONOTONIC), on which timers run, stands still meanwhile. The
- * time of day does not, but can be set, and the machine's uptime does not, but is dear to read. So the time of day is looked
- * at each time: where it has gone on by more than the steady clock, the uptime tells whether it was set. Where the uptime
- * can't be believed, it counts as suspended: to take an own right for ended that has not costs its renewal, the other way
- * round it is used by two. So this is never less than the time that has passed, and the steady clock never more: to wait
- * until a right of others has ended, take that one.
+ * Time that continues while the machine is suspended, like CLOCK_BOOTTIME. It is meant for the expiry of what
+ * this process holds, such as its own leases, and for the age of received data.
+ *
+ * The monotonic clock (CLOCK_MONOTONIC), which drives timers, stops during a suspension. The wall clock
+ * continues but can be set, and the uptime of the machine continues but is expensive to read. So each call
+ * compares the wall clock with the monotonic clock. If it has advanced by more, the uptime is read to tell a
+ * suspension from a wall clock that was set. If the uptime cannot be trusted, a suspension is assumed: taking
+ * an own lease for expired too early only costs its renewal, but too late, two processes would use it.
+ *
+ * So this clock never advances by less than the real time, and the monotonic clock never by more. To wait
+ * until the lease of another process has expired, use the monotonic clock.
  */
 export class ContinuousClock implements Clock {
   readonly #base: Clock;
   #suspendedMs = 0;
-  /** By how much the time of day, and the uptime, were ahead of the steady clock at the last look. */
-  #wallLeadMs: number;
-  #uptimeLeadMs: number | undefined;
-  #uptimeKeptStep = 0;
+  /** Offsets of the wall clock and of the uptime from the monotonic clock at the last check. */
+  #wallOffsetMs: number;
+  #uptimeOffsetMs: number | undefined;
+  #consistentChecks = 0;
   #checkedMs: number;
 
   constructor(base: Clock) {
     this.#base = base;
-    const steadyMs = base.now();
-    this.#checkedMs = steadyMs;
-    this.#wallLeadMs = base.wallTime() - steadyMs;
-    this.#uptimeLeadMs = this.#readUptimeLead(steadyMs);
+    const monotonicMs = base.now();
+    this.#checkedMs = monotonicMs;
+    this.#wallOffsetMs = base.wallTime() - monotonicMs;
+    this.#uptimeOffsetMs = this.#readUptimeOffset(monotonicMs);
   }
 
   now(): number {
-    const { steadyMs, wallGapMs } = this.#look();
+    const { monotonicMs, wallGapMs } = this.#compareClocks();
     const isGap = Math.abs(wallGapMs) > TOLERANCE_MS;
-    if (isGap || steadyMs - this.#checkedMs >= CHECK_MS) this.#check();
+    if (isGap || monotonicMs - this.#checkedMs >= CHECK_INTERVAL_MS) this.#check();
     return this.#base.now() + this.#suspendedMs;
   }
 
-  /** For how long the machine was suspended so far, in milliseconds; rises when a suspension is noticed. */
+  /** Total time in milliseconds for which the machine was suspended, as far as noticed. */
   get suspendedMs(): number {
     this.now();
     return this.#suspendedMs;
@@ -58,33 +65,39 @@
     return this.#base.sleep(delayMs, signal);
   }
 
-  #look(): { readonly steadyMs: number; readonly wallGapMs: number } {
-    const steadyMs = this.#base.now();
-    return { steadyMs, wallGapMs: this.#base.wallTime() - steadyMs - this.#wallLeadMs };
+  #compareClocks(): { readonly monotonicMs: number; readonly wallGapMs: number } {
+    const monotonicMs = this.#base.now();
+    return { monotonicMs, wallGapMs: this.#base.wallTime() - monotonicMs - this.#wallOffsetMs };
   }
 
-  /** Looks once more: a process that was held up between reading the two clocks has seen a gap that there is not. */
+  /**
+   * Compares the clocks again: a process that was delayed between reading the two has seen a gap that does
+   * not exist.
+   */
   #check(): void {
-    const { steadyMs, wallGapMs } = this.#look();
-    this.#checkedMs = steadyMs;
-    this.#wallLeadMs += wallGapMs;
-    this.#suspendedMs += this.#suspendedSince(Math.abs(wallGapMs) > TOLERANCE_MS ? wallGapMs : 0, steadyMs);
+    const { monotonicMs, wallGapMs } = this.#compareClocks();
+    this.#checkedMs = monotonicMs;
+    this.#wallOffsetMs += wallGapMs;
+    this.#suspendedMs += this.#suspendedSince(
+      Math.abs(wallGapMs) > TOLERANCE_MS ? wallGapMs : 0,
+      monotonicMs,
+    );
   }
 
-  #suspendedSince(wallGapMs: number, steadyMs: number): number {
-    const isBelieved = this.#uptimeKeptStep >= BELIEVED_AFTER;
-    const leadMs = this.#readUptimeLead(steadyMs);
-    const uptimeGapMs = leadMs === undefined ? Infinity : leadMs - (this.#uptimeLeadMs ?? leadMs);
-    this.#uptimeLeadMs = leadMs;
-    const keptStep = Math.abs(uptimeGapMs) <= TOLERANCE_MS;
-    const agrees = Math.abs(uptimeGapMs - wallGapMs) <= 2 * TOLERANCE_MS;
-    this.#uptimeKeptStep = keptStep || agrees ? this.#uptimeKeptStep + 1 : 0;
-    if (!isBelieved) return Math.max(0, wallGapMs);
-    return keptStep ? 0 : Math.max(0, uptimeGapMs);
+  #suspendedSince(wallGapMs: number, monotonicMs: number): number {
+    const isUptimeTrusted = this.#consistentChecks >= TRUSTED_AFTER_CHECKS;
+    const offsetMs = this.#readUptimeOffset(monotonicMs);
+    const uptimeGapMs = offsetMs === undefined ? Infinity : offsetMs - (this.#uptimeOffsetMs ?? offsetMs);
+    this.#uptimeOffsetMs = offsetMs;
+    const isUptimeSteady = Math.abs(uptimeGapMs) <= TOLERANCE_MS;
+    const agreesWithWall = Math.abs(uptimeGapMs - wallGapMs) <= 2 * TOLERANCE_MS;
+    this.#consistentChecks = isUptimeSteady || agreesWithWall ? this.#consistentChecks + 1 : 0;
+    if (!isUptimeTrusted) return Math.max(0, wallGapMs);
+    return isUptimeSteady ? 0 : Math.max(0, uptimeGapMs);
   }
 
-  #readUptimeLead(steadyMs: number): number | undefined {
+  #readUptimeOffset(monotonicMs: number): number | undefined {
     const uptimeMs = this.#base.uptimeMs?.();
-    return uptimeMs === undefined ? undefined : uptimeMs - steadyMs;
+    return uptimeMs === undefined ? undefined : uptimeMs - monotonicMs;
   }
 }
--- a/packages/clock/src/host-clock.ts
+++ b/packages/clock/src/host-clock.ts
@@ -1,9 +1,9 @@
 import { sleepOn, type Clock, type Timer } from './clock.js';
 
 /**
- * Clock of one simulated process on top of a shared clock. It can run at another rate, be paused
- * (timers that fall due meanwhile run at the moment of waking, as after SIGSTOP and SIGCONT) or be
- * stopped for good (as after SIGKILL).
+ * Clock of one simulated process, based on a shared clock. It can run at a different rate, be paused (timers
+ * that become due meanwhile run on resume, as after SIGSTOP and SIGCONT) or be stopped for good (as after
+ * SIGKILL).
  */
 export class HostClock implements Clock {
   readonly #base: Clock;
@@ -45,7 +45,7 @@
     return sleepOn(this, delayMs, signal);
   }
 
-  /** Runs `action` now, at waking time while paused, or never after {@link HostClock.stop}. */
+  /** Runs `action` now; on resume if the process is paused; never after {@link HostClock.stop}. */
   deliver(action: () => void): void {
     this.#deliver(action);
   }
@@ -54,7 +54,7 @@
     if (this.#state === 'running') this.#state = 'paused';
   }
 
-  /** Wakes a paused process; what fell due while it was paused runs in order. */
+  /** Resumes a paused process and runs, in order, what became due meanwhile. */
   resume(): void {
     if (this.#state !== 'paused') return;
     this.#state = 'running';
--- a/packages/clock/src/index.ts
+++ b/packages/clock/src/index.ts
@@ -1,4 +1,4 @@
-/** Time and seeded randomness. Every other package takes both through these interfaces. */
+/** Time and seeded random numbers. All other packages use these interfaces for both. */
 export type { Clock, Timer } from './clock.js';
 export { SystemClock } from './system-clock.js';
 export { VirtualClock } from './virtual-clock.js';
--- a/packages/clock/src/loop-turns.ts
+++ b/packages/clock/src/loop-turns.ts
@@ -1,42 +1,44 @@
 import type { Clock, Timer } from './clock.js';
 
 /**
- * Tells since when at the earliest what a process works on now can have waited for it. The loop reads sockets before it
- * runs timers, so what had come before one of its timers ran has been worked on by then.
+ * Gives a lower bound for the arrival time of the data that the process handles now. In each iteration, the
+ * event loop reads sockets before it runs timers, so data that arrived before one of the timers ran has been
+ * handled by then.
  */
 export class LoopTurns {
   readonly #clock: Clock;
   readonly #periodMs: number;
-  #turnMs: number;
-  #turnBeforeMs: number;
+  #lastRunMs: number;
+  #previousRunMs: number;
   #timer: Timer | undefined;
 
-  /** @param periodMs time between two looks, by which the moment told may be too early twice */
+  /** @param periodMs interval of the timer; the lower bound may be too early by up to two intervals */
   constructor(clock: Clock, periodMs: number) {
     this.#clock = clock;
     this.#periodMs = periodMs;
-    this.#turnMs = clock.now();
-    this.#turnBeforeMs = this.#turnMs;
-    this.#next();
+    this.#lastRunMs = clock.now();
+    this.#previousRunMs = this.#lastRunMs;
+    this.#schedule();
   }
 
   /**
-   * Moment after which anything came that is worked on now. The turn before the last one, as the last may be the one in which a
-   * process goes on that was held up, with all that came meanwhile still to be read.
+   * Data that is handled now arrived after this time. It is the time of the last but one timer run: the last
+   * one may be the first after the process was held up, when the data that arrived meanwhile was not read
+   * yet.
    */
   get cameAfterMs(): number {
-    return this.#turnBeforeMs;
+    return this.#previousRunMs;
   }
 
   stop(): void {
     this.#timer?.cancel();
   }
 
-  #next(): void {
+  #schedule(): void {
     this.#timer = this.#clock.setTimer(this.#periodMs, () => {
-      this.#turnBeforeMs = this.#turnMs;
-      this.#turnMs = this.#clock.now();
-      this.#next();
+      this.#previousRunMs = this.#lastRunMs;
+      this.#lastRunMs = this.#clock.now();
+      this.#schedule();
     });
   }
 }
--- a/packages/clock/src/notifier.ts
+++ b/packages/clock/src/notifier.ts
@@ -1,6 +1,6 @@
 import type { Clock } from './clock.js';
 
-/** Wakes tasks that wait for a change. Each call of `notify` ends the waits that began before it. */
+/** Condition variable: each call of `notify` resolves all waits that began before it. */
 export class Notifier {
   readonly #waiters = new Set<() => void>();
 
@@ -10,7 +10,7 @@
     });
   }
 
-  /** Waits for `notify`, or for `delayMs` milliseconds. */
+  /** Waits for `notify`, but at most `delayMs` milliseconds. */
   waitUpTo(clock: Pick<Clock, 'setTimer'>, delayMs: number): Promise<void> {
     return new Promise((resolve) => {
       const finish = (): void => {
--- a/packages/clock/src/random.ts
+++ b/packages/clock/src/random.ts
@@ -6,7 +6,7 @@
 const FNV_PRIME = 0x01000193;
 const FRACTION_STEPS = 0x7fffffff;
 
-/** 32-bit FNV-1a of a text, for deriving seeds. */
+/** 32-bit FNV-1a hash of a text, for deriving seeds. */
 export function hashSeed(text: string): number {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index += 1) {
@@ -23,7 +23,7 @@
     this.#generator = xoroshiro128plus(seed);
   }
 
-  /** An independent stream for the part of a program called `name`. */
+  /** Returns an independent stream for the use called `name`. */
   static derive(seed: number, name: string): Random {
     return new Random(hashSeed(`${seed}/${name}`));
   }
@@ -33,17 +33,17 @@
     return uniformInt(this.#generator, 0, FRACTION_STEPS - 1) / FRACTION_STEPS;
   }
 
-  /** Uniform whole number in [0, limit). */
+  /** Uniform integer in [0, limit). */
   integer(limit: number): number {
     return uniformInt(this.#generator, 0, limit - 1);
   }
 
-  /** Exponentially distributed with the given mean, as the gaps of a Poisson process. */
+  /** Exponentially distributed with the given mean, like the intervals of a Poisson process. */
   exponential(mean: number): number {
     return -mean * Math.log(1 - this.next());
   }
 
-  /** One element, or undefined of an empty list. */
+  /** A random element, or undefined if the list is empty. */
   pick<T>(items: readonly T[]): T | undefined {
     return items.length === 0 ? undefined : items[this.integer(items.length)];
   }
--- a/packages/clock/src/suspendable-clock.ts
+++ b/packages/clock/src/suspendable-clock.ts
@@ -1,16 +1,16 @@
 import { sleepOn, type Clock, type Timer } from './clock.js';
 
-/** Sums of fractions differ by less. */
+/** Rounding errors of sums of floating-point numbers are smaller. */
 const ROUNDING_MS = 1e-6;
 
 /**
- * Clock of one simulated machine that can be suspended: its steady time stands still meanwhile and its timers with it, as
- * CLOCK_MONOTONIC does, while the time of day goes on.
+ * Clock of one simulated machine that can be suspended. During a suspension, its monotonic time and its
+ * timers stop, as with CLOCK_MONOTONIC, while the wall clock continues.
  */
 export class SuspendableClock implements Clock {
   readonly #base: Clock;
-  readonly #resumed: (() => void)[] = [];
-  #lostMs = 0;
+  readonly #onResume: (() => void)[] = [];
+  #suspendedMs = 0;
   #suspendedAtMs: number | undefined;
 
   constructor(base: Clock) {
@@ -22,7 +22,7 @@
   }
 
   now(): number {
-    return (this.#suspendedAtMs ?? this.#base.now()) - this.#lostMs;
+    return (this.#suspendedAtMs ?? this.#base.now()) - this.#suspendedMs;
   }
 
   wallTime(): number {
@@ -36,7 +36,7 @@
     const wait = (): void => {
       timer = this.#base.setTimer(Math.max(0, dueMs - this.now()), () => {
         if (isCancelled) return;
-        if (this.isSuspended) this.#resumed.push(wait);
+        if (this.isSuspended) this.#onResume.push(wait);
         else if (dueMs - this.now() > ROUNDING_MS) wait();
         else callback();
       });
@@ -60,8 +60,8 @@
 
   resume(): void {
     if (this.#suspendedAtMs === undefined) return;
-    this.#lostMs += this.#base.now() - this.#suspendedAtMs;
+    this.#suspendedMs += this.#base.now() - this.#suspendedAtMs;
     this.#suspendedAtMs = undefined;
-    for (const wait of this.#resumed.splice(0)) wait();
+    for (const wait of this.#onResume.splice(0)) wait();
   }
 }
--- a/packages/clock/src/system-clock.ts
+++ b/packages/clock/src/system-clock.ts
@@ -2,8 +2,8 @@
 import { sleepOn, type Clock, type Timer } from './clock.js';
 
 /**
- * Clock of the operating system. `now` is CLOCK_MONOTONIC, which goes on while a process is stopped, but not while its
- * machine is suspended; see `ContinuousClock`.
+ * Clock of the operating system. `now` is CLOCK_MONOTONIC, which continues while the process is stopped, but
+ * not while the machine is suspended; see `ContinuousClock`.
  */
 export class SystemClock implements Clock {
   now(): number {
--- a/packages/clock/src/virtual-clock.ts
+++ b/packages/clock/src/virtual-clock.ts
@@ -1,7 +1,7 @@
 import { Heap } from 'heap-js';
 import { sleepOn, type Clock, type Timer } from './clock.js';
 
-/** Wall time at virtual time 0, so that runs see plausible dates. */
+/** Wall-clock time at virtual time 0, so that simulated runs see plausible dates. */
 const WALL_EPOCH_MS = Date.UTC(2026, 6, 1);
 
 interface PendingTimer {
@@ -11,8 +11,8 @@
 }
 
 /**
- * Discrete-event time. Between two timers all pending promise work runs to its end, so a run is a
- * function of its inputs alone and goes as fast as the machine allows.
+ * Virtual time of a discrete-event simulation. All pending promise callbacks run before the next timer, so a
+ * run is deterministic, and it is as fast as the machine allows.
  */
 export class VirtualClock implements Clock {
   readonly #queue = new Heap<PendingTimer>((a, b) => a.dueMs - b.dueMs || a.order - b.order);
@@ -42,7 +42,7 @@
     return sleepOn(this, delayMs, signal);
   }
 
-  /** Runs timers in order until `untilMs`, then sets the time to it. */
+  /** Runs the timers due until `untilMs` in order, then sets the time to `untilMs`. */
   async runUntil(untilMs: number): Promise<void> {
     await settle();
     for (;;) {
@@ -58,7 +58,10 @@
   }
 }
 
-/** Lets every queued microtask run: the check phase of the event loop starts only after them. */
+/**
+ * Runs all queued microtasks: the check phase of the event loop, which runs `setImmediate`, starts only after
+ * them.
+ */
 function settle(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
