--- a/packages/admission/src/quota/quota-lender.ts
+++ b/packages/admission/src/quota/quota-lender.ts
@@ -179,13 +179,13 @@
    * reports: it lends only the sum of the shares that the previous home had set for the nodes that ask here.
    */
   #reachableShare(account: Account, nowMs: number): number {
-    const outOfSight = this.#options.outOfSight();
+    const unreachable = this.#options.outOfSight();
     for (const [id, { atMs }] of account.demands) {
-      if (!outOfSight.has(id) && nowMs - atMs > DEMAND_TTL_MS) account.demands.delete(id);
+      if (!unreachable.has(id) && nowMs - atMs > DEMAND_TTL_MS) account.demands.delete(id);
     }
-    if (outOfSight.size === 0) return 1;
+    if (unreachable.size === 0) return 1;
     let unreachableShare = 0;
-    for (const id of outOfSight) unreachableShare += shareOf(account, id);
+    for (const id of unreachable) unreachableShare += shareOf(account, id);
     return unreachableShare > 0 ? 1 - Math.min(unreachableShare, 1) : previousShareSum(account);
   }
 }
--- a/packages/admission/test/quarantine.test.ts
+++ b/packages/admission/test/quarantine.test.ts
@@ -1,9 +1,12 @@
-/** Requests that end the backends that run them, in a fleet where backends end by themselves as well. */
+/**
+ * Quarantine of requests that crash the backends that run them, in a fleet where backends also crash for
+ * other reasons.
+ */
 import { VirtualClock } from '@canvasridge/clock';
 import test from 'ava';
 import { INTERRUPTION_MS, InterruptionLedger, QUARANTINE_MS, QuarantineList } from '../src/index.js';
 
-test('backends that broke off under a request are counted once each', (t) => {
+test('each backend that fails while running a request is counted once', (t) => {
   const ledger = new InterruptionLedger(new VirtualClock());
   t.is(ledger.note('f', 'a'), 1);
   t.is(ledger.note('f', 'a'), 1);
@@ -12,7 +15,7 @@
   t.is(ledger.note('f', 'c'), 3);
 });
 
-test('interruptions that lie far back do not count', async (t) => {
+test('interruptions outside the time window do not count', async (t) => {
   const clock = new VirtualClock();
   const ledger = new InterruptionLedger(clock);
   ledger.note('f', 'a');
@@ -21,7 +24,7 @@
   t.is(ledger.note('f', 'c'), 1);
 });
 
-test('of very many requests those interrupted last are remembered', (t) => {
+test('beyond the maximum of tracked requests, those interrupted least recently are dropped', (t) => {
   const ledger = new InterruptionLedger(new VirtualClock());
   ledger.note('first', 'a');
   for (let index = 0; index < 5000; index += 1) ledger.note(`f${index}`, 'a');
@@ -29,12 +32,12 @@
   t.is(ledger.note('f4999', 'b'), 2);
 });
 
-test('a quarantine ends after its time, also where it was told of by another node', async (t) => {
+test('a quarantine ends after its time, also on a node that learned of it from another node', async (t) => {
   const clock = new VirtualClock();
   const own = new QuarantineList(clock);
   const other = new QuarantineList(clock);
   t.true(own.add({ fingerprint: 'f', ageMs: 0 }));
-  t.false(own.add({ fingerprint: 'f', ageMs: 0 }), 'it is not news');
+  t.false(own.add({ fingerprint: 'f', ageMs: 0 }), 'it is listed already');
   await clock.runUntil(QUARANTINE_MS / 2);
   for (const entry of own.entries()) other.add(entry);
   t.is(other.remainingMs('f'), QUARANTINE_MS / 2);
@@ -44,11 +47,11 @@
   t.deepEqual(own.entries(), []);
   t.false(
     own.add({ fingerprint: 'f', ageMs: QUARANTINE_MS }),
-    'what has ended elsewhere is not taken up again',
+    'a quarantine that has ended on another node is not added again',
   );
 });
 
-test('a full list keeps the requests quarantined last', async (t) => {
+test('a full list keeps the most recently quarantined requests', async (t) => {
   const clock = new VirtualClock();
   const list = new QuarantineList(clock);
   for (let index = 0; index < 40; index += 1) {
--- a/packages/admission/test/request-keys.test.ts
+++ b/packages/admission/test/request-keys.test.ts
@@ -2,7 +2,7 @@
 import { VirtualClock } from '@canvasridge/clock';
 import { HOME_EPOCH_MS, RequestKeys, RetryBudget, formatHome, parseHome } from '../src/index.js';
 
-test('a key is run by the first request only; later ones get its outcome', async (t) => {
+test('only the first request with a key runs; later ones get its outcome', async (t) => {
   const keys = new RequestKeys(new VirtualClock());
   const first = keys.claim(keys.epoch(), 'k');
   const second = keys.claim(keys.epoch(), 'k');
@@ -13,14 +13,14 @@
   t.is(keys.claim(keys.epoch(), 'k').kind, 'wait');
 });
 
-test('a key whose request was proved not to have run may be used again', (t) => {
+test('a key may be used again if its request certainly did not run', (t) => {
   const keys = new RequestKeys(new VirtualClock());
   const first = keys.claim(keys.epoch(), 'k');
   if (first.kind === 'run') first.settle({ kind: 'not-executed' });
   t.is(keys.claim(keys.epoch(), 'k').kind, 'run');
 });
 
-test('a key is handed to one process only, and not once it runs here', (t) => {
+test('the right to run a key is handed to one process only, and not if it runs here', (t) => {
   const keys = new RequestKeys(new VirtualClock());
   const epoch = keys.epoch();
   t.is(keys.transfer(epoch, 'k', 'b~1'), 'granted');
@@ -31,25 +31,25 @@
   t.is(keys.transfer(epoch, 'mine', 'b~1'), 'known-here');
 });
 
-test('a key of a period that is no longer remembered is unknown, never run', async (t) => {
+test('a key of a dropped epoch is unknown and does not run', async (t) => {
   const clock = new VirtualClock();
   const keys = new RequestKeys(clock);
   const epoch = keys.epoch();
-  const intoPeriodMs = clock.wallTime() % HOME_EPOCH_MS;
-  await clock.runUntil(HOME_EPOCH_MS * 1.5 - intoPeriodMs);
+  const sinceEpochStartMs = clock.wallTime() % HOME_EPOCH_MS;
+  await clock.runUntil(HOME_EPOCH_MS * 1.5 - sinceEpochStartMs);
   t.is(keys.claim(epoch, 'k').kind, 'run');
-  await clock.runUntil(HOME_EPOCH_MS * 2.5 - intoPeriodMs);
+  await clock.runUntil(HOME_EPOCH_MS * 2.5 - sinceEpochStartMs);
   t.is(keys.claim(epoch, 'k').kind, 'unknown');
   t.is(keys.transfer(epoch, 'k', 'b~1'), 'unknown');
 });
 
-test('a home text is read back as it was written, and other texts are refused', (t) => {
+test('a formatted home token is parsed back unchanged, and other texts are rejected', (t) => {
   const home = { nodeId: 'node-a', processToken: 'ab12', epoch: 7 };
   t.deepEqual(parseHome(formatHome(home)), home);
   for (const text of ['', 'node-a', 'a~b', 'a~b~c', 'a~b~1~2']) t.is(parseHome(text), undefined);
 });
 
-test('retries stay within their share of the traffic', (t) => {
+test('retries stay within their ratio to the first attempts', (t) => {
   const budget = new RetryBudget(0.2, 10);
   while (budget.withdraw());
   for (let request = 0; request < 100; request += 1) budget.deposit();
