--- a/packages/clock/test/continuous-clock.test.ts
+++ b/packages/clock/test/continuous-clock.test.ts
@@ -3,7 +3,7 @@
 
 const LONG_MS = 60_000;
 
-/** Virtual time that can go on without an event, as while a process is held up. */
+/** Virtual time that can advance without running timers, as while a process is delayed. */
 class SkippingClock extends VirtualClock {
   #skippedMs = 0;
 
@@ -20,14 +20,14 @@
   }
 }
 
-/** A machine whose time of day can be set, and whose uptime is as told. */
+/** A machine whose wall clock can be set, and whose uptime is computed by a given function. */
 class Machine implements Clock {
   readonly base = new SkippingClock();
-  readonly #steady = new SuspendableClock(this.base);
+  readonly #monotonic = new SuspendableClock(this.base);
   readonly continuous: ContinuousClock;
-  /** How long the process is held up before it reads the time of day next. */
-  holdUpOnceMs = 0;
-  #setMs = 0;
+  /** Time by which the process is delayed before its next read of the wall clock. */
+  delayOnceMs = 0;
+  #wallAdjustmentMs = 0;
   readonly #uptime: (trueMs: number) => number;
 
   constructor(uptime: (trueMs: number) => number = (trueMs) => trueMs) {
@@ -36,13 +36,13 @@
   }
 
   now(): number {
-    return this.#steady.now();
+    return this.#monotonic.now();
   }
 
   wallTime(): number {
-    this.base.skip(this.holdUpOnceMs);
-    this.holdUpOnceMs = 0;
-    return this.base.wallTime() + this.#setMs;
+    this.base.skip(this.delayOnceMs);
+    this.delayOnceMs = 0;
+    return this.base.wallTime() + this.#wallAdjustmentMs;
   }
 
   uptimeMs(): number {
@@ -50,18 +50,18 @@
   }
 
   setTimer(delayMs: number, callback: () => void): Timer {
-    return this.#steady.setTimer(delayMs, callback);
+    return this.#monotonic.setTimer(delayMs, callback);
   }
 
   sleep(delayMs: number, signal?: AbortSignal): Promise<void> {
-    return this.#steady.sleep(delayMs, signal);
+    return this.#monotonic.sleep(delayMs, signal);
   }
 
-  setWall(byMs: number): void {
-    this.#setMs += byMs;
+  adjustWallClock(byMs: number): void {
+    this.#wallAdjustmentMs += byMs;
   }
 
-  /** Runs, with a look at the time each tenth of a second. */
+  /** Runs for a time and reads the continuous clock every 100 ms. */
   async run(durationMs: number): Promise<void> {
     const endMs = this.base.now() + durationMs;
     while (this.base.now() < endMs) {
@@ -71,61 +71,64 @@
   }
 
   async suspend(durationMs: number): Promise<void> {
-    this.#steady.suspend();
+    this.#monotonic.suspend();
     await this.base.runUntil(this.base.now() + durationMs);
-    this.#steady.resume();
+    this.#monotonic.resume();
   }
 }
 
-/** Uptimes that can't be believed: of another machine whose clock runs at another rate, and one that stands still. */
-const UNBELIEVABLE: readonly ((trueMs: number) => number)[] = [(trueMs) => 0.4 * trueMs, () => 0];
+/**
+ * Uptimes that cannot be trusted: that of another machine whose clock runs at another rate, and one that
+ * stands still.
+ */
+const UNTRUSTED_UPTIMES: readonly ((trueMs: number) => number)[] = [(trueMs) => 0.4 * trueMs, () => 0];
 
-test('a suspension is seen by the first look after it, by itself and with a time of day that is set meanwhile', async (t) => {
+test('the first read after a suspension includes it, also if the wall clock was set meanwhile', async (t) => {
   const machine = new Machine();
   await machine.run(LONG_MS);
   await machine.suspend(8000);
   t.is(machine.continuous.now(), LONG_MS + 8000);
   await machine.run(2000);
   await machine.suspend(4000);
-  machine.setWall(-3000);
+  machine.adjustWallClock(-3000);
   t.is(Math.round(machine.continuous.now()), LONG_MS + 14_000);
 });
 
-test('a time of day that is set is no suspension where the uptime goes on evenly', async (t) => {
+test('setting the wall clock does not count as a suspension if the uptime continues evenly', async (t) => {
   const machine = new Machine();
   await machine.run(LONG_MS);
-  machine.setWall(2400);
+  machine.adjustWallClock(2400);
   t.is(machine.continuous.now(), LONG_MS);
-  machine.setWall(-2400);
+  machine.adjustWallClock(-2400);
   await machine.run(5000);
   t.is(machine.continuous.now(), LONG_MS + 5000);
 });
 
-for (const uptime of UNBELIEVABLE) {
-  test(`without an uptime that can be believed (${String(uptime)}) the time of day tells`, async (t) => {
+for (const uptime of UNTRUSTED_UPTIMES) {
+  test(`with an untrusted uptime (${String(uptime)}), the wall clock decides`, async (t) => {
     const machine = new Machine(uptime);
     await machine.run(LONG_MS);
     t.is(machine.continuous.now(), LONG_MS);
     await machine.suspend(8000);
     t.is(machine.continuous.now(), LONG_MS + 8000);
-    machine.setWall(-2400);
+    machine.adjustWallClock(-2400);
     t.is(machine.continuous.now(), LONG_MS + 8000, 'it never goes back');
   });
 }
 
-test('a drift of the time of day adds nothing', async (t) => {
+test('a drift of the wall clock does not count as a suspension', async (t) => {
   const machine = new Machine();
   for (let second = 0; second < 120; second += 1) {
-    machine.setWall(0.5);
+    machine.adjustWallClock(0.5);
     await machine.run(1000);
   }
   t.is(machine.continuous.now(), 120_000);
 });
 
-test('a process that is held up between reading the two clocks sees no suspension', async (t) => {
+test('a delay between reading the two clocks does not count as a suspension', async (t) => {
   const machine = new Machine(() => 0);
   await machine.run(5000);
-  machine.holdUpOnceMs = 400;
+  machine.delayOnceMs = 400;
   t.is(machine.continuous.now(), 5400);
   t.is(machine.continuous.suspendedMs, 0);
 });
--- a/packages/clock/test/loop-turns.test.ts
+++ b/packages/clock/test/loop-turns.test.ts
@@ -3,7 +3,7 @@
 
 const PERIOD_MS = 50;
 
-test('what a process works on came within two periods while it is not held up', async (t) => {
+test('data arrived at most two intervals ago if the process is not held up', async (t) => {
   const clock = new VirtualClock();
   const turns = new LoopTurns(clock, PERIOD_MS);
   await clock.runUntil(1020);
@@ -11,7 +11,7 @@
   turns.stop();
 });
 
-test('what a process finds when it goes on may have come since it was held up', async (t) => {
+test('data read after the process was held up may have arrived since then', async (t) => {
   const base = new VirtualClock();
   const clock = new HostClock(base);
   const turns = new LoopTurns(clock, PERIOD_MS);
@@ -19,7 +19,11 @@
   clock.pause();
   await base.runUntil(3000);
   clock.resume();
-  t.is(turns.cameAfterMs, 1000, 'the timer that was due meanwhile has run, and what came is not read yet');
+  t.is(
+    turns.cameAfterMs,
+    1000,
+    'the timer that became due meanwhile has run, but the data that arrived is not read yet',
+  );
   await base.runUntil(3120);
   t.is(turns.cameAfterMs, 3050);
   turns.stop();
--- a/packages/clock/test/suspendable-clock.test.ts
+++ b/packages/clock/test/suspendable-clock.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { SuspendableClock, VirtualClock } from '../src/index.js';
 
-test('steady time and timers stand still while a machine is suspended, the time of day does not', async (t) => {
+test('monotonic time and timers stop while a machine is suspended, the wall clock does not', async (t) => {
   const base = new VirtualClock();
   const clock = new SuspendableClock(base);
   const wallMs = clock.wallTime();
--- a/packages/serving/test/fleet-state.test.ts
+++ b/packages/serving/test/fleet-state.test.ts
@@ -10,7 +10,7 @@
   return { id, service: 'llm', address: `${id}:1`, zone: 'a', state, slots: 1, models: [] };
 }
 
-test('a configuration never goes back', (t) => {
+test('an older configuration is not applied', (t) => {
   const fleet = new FleetState();
   t.true(fleet.applyConfiguration(configuration(7)));
   t.false(fleet.applyConfiguration(configuration(3)));
@@ -18,7 +18,7 @@
   t.is(fleet.configurationVersion, 7);
 });
 
-test('an adapter version never goes back', (t) => {
+test('an older adapter version is not applied', (t) => {
   const fleet = new FleetState();
   fleet.applyAdapterVersion({ model: 'm', adapter: 'x', version: 4 });
   fleet.applyAdapterVersion({ model: 'm', adapter: 'x', version: 2 });
@@ -26,7 +26,7 @@
   t.is(fleet.adapterVersion('m', 'y'), 0);
 });
 
-test('an older entry of a backend, or its older removal, changes nothing', (t) => {
+test('an older entry or an older removal of a backend is ignored', (t) => {
   const fleet = new FleetState();
   fleet.applyBackend(10, backend('i1', 'draining'));
   fleet.applyBackend(8, backend('i1'));
@@ -36,7 +36,7 @@
   t.is(fleet.backend('i1'), undefined);
 });
 
-test('a whole list removes what it lacks but not what is newer', (t) => {
+test('a whole list removes the entries that it lacks, except newer ones', (t) => {
   const fleet = new FleetState();
   fleet.applyBackend(10, backend('old'));
   fleet.applyBackend(30, backend('new'));
@@ -47,10 +47,10 @@
   );
   fleet.applyBackend(40, backend('newer'));
   fleet.replaceBackends(35, []);
-  t.truthy(fleet.backend('newer'), 'a list that is older than what is known is not taken');
+  t.truthy(fleet.backend('newer'), 'a list that is older than the known one is not applied');
 });
 
-test('peers bring one another up to the newest state in whichever order', (t) => {
+test('two peers that merge their snapshots both end up with the newest state', (t) => {
   const one = new FleetState();
   const two = new FleetState();
   one.applyConfiguration(configuration(5));
@@ -70,15 +70,15 @@
   }
 });
 
-test('a backend that said itself that it leaves counts as draining, and peers get its entry as it was published', (t) => {
+test('a backend that announced its shutdown counts as draining, and peers get its entry as published', (t) => {
   const fleet = new FleetState();
-  const told: unknown[] = [];
-  fleet.onDeparture((departure) => told.push(departure));
+  const departures: unknown[] = [];
+  fleet.onDeparture((departure) => departures.push(departure));
   fleet.applyBackend(10, backend('i1'));
   const { routingDigest } = fleet;
   fleet.noteAnnounced('i1', 'answer');
   fleet.noteAnnounced('i1', 'peer');
-  t.deepEqual(told, [{ id: 'i1', state: 'draining', revision: 10, via: 'answer' }]);
+  t.deepEqual(departures, [{ id: 'i1', state: 'draining', revision: 10, via: 'answer' }]);
   t.true(fleet.isLeaving('i1'));
   t.is(fleet.backend('i1')?.state, 'draining');
   t.deepEqual(
@@ -89,11 +89,11 @@
   t.is(fleet.listing().backends[0]?.value.state, 'ready');
   t.is(fleet.routingDigest, routingDigest);
   fleet.applyBackend(20, backend('i1', 'draining'));
-  t.deepEqual(fleet.unlistedDepartures('llm'), [], 'all that read the list know now');
-  t.is(told.length, 1);
+  t.deepEqual(fleet.unlistedDepartures('llm'), [], 'all nodes that read the list know it now');
+  t.is(departures.length, 1);
 });
 
-test('what a backend said holds for its process: before it is listed, after a lapse, and not for another start', (t) => {
+test('an announcement applies to one process: before it is listed, after its entry expired, but not after a restart', (t) => {
   const fleet = new FleetState();
   fleet.noteAnnounced('i1', 'answer');
   fleet.applyBackend(10, backend('i1'));
@@ -108,11 +108,11 @@
   t.false(fleet.isLeaving('i1@2'));
 });
 
-test('however many backends said so, those that are listed stay known', (t) => {
+test('announcements of listed backends are kept, however many others there are', (t) => {
   const fleet = new FleetState();
   fleet.applyBackend(1, backend('listed'));
   fleet.noteAnnounced('listed', 'answer');
   for (let index = 0; index < 5000; index += 1) fleet.noteAnnounced(`gone-${index}`, 'answer');
   t.true(fleet.isLeaving('listed'));
-  t.false(fleet.hasAnnounced('gone-0'), 'the memory is bounded');
+  t.false(fleet.hasAnnounced('gone-0'), 'the number of announcements kept is bounded');
 });
--- a/packages/serving/test/new-era.test.ts
+++ b/packages/serving/test/new-era.test.ts
@@ -4,19 +4,19 @@
 
 const RETURN_MS = 2000;
 const HEARTBEAT_MS = 1200;
-/** A backend that had left and is listed again by a copy counts as leaving for so long. */
-const COPY_LAPSED_MS = 3 * HEARTBEAT_MS + RETURN_MS;
+/** A backend that had left and is listed again after a restore counts as leaving for this time. */
+const RESTORE_PERIOD_MS = 3 * HEARTBEAT_MS + RETURN_MS;
 
 function backend(id: string, state: 'ready' | 'draining' = 'ready'): BackendDescription {
   return { id, service: 's', address: '127.0.0.1:1', zone: 'z', state, slots: 1, models: [] };
 }
 
-/** A node that has read the list up to revision 10 in era 1. */
+/** A node that has read the list up to revision 10 in era 1, and a removal at revision 11. */
 class Node {
   readonly clock = new VirtualClock();
   readonly fleet = new FleetState();
   readonly listedAgain: string[] = [];
-  readonly lapses = new BackendLapses({
+  readonly listUpdater = new BackendLapses({
     fleet: this.fleet,
     clock: this.clock,
     heartbeatMs: HEARTBEAT_MS,
@@ -27,26 +27,26 @@
 
   constructor() {
     this.fleet.enterEra(1);
-    this.lapses.replace(10, [
+    this.listUpdater.replace(10, [
       { revision: 9, value: backend('stays') },
       { revision: 10, value: backend('leaves', 'draining') },
       { revision: 8, value: backend('gone') },
     ]);
-    this.lapses.remove(11, 'gone');
+    this.listUpdater.remove(11, 'gone');
   }
 
-  /** Reads the copy from which the store came back. */
-  returned(revision: number, listed: readonly BackendDescription[]): void {
+  /** Reads the list of the store after it was restored from a backup. */
+  restoreStore(revision: number, listed: readonly BackendDescription[]): void {
     this.fleet.enterEra(2);
-    this.lapses.beginUpdate();
-    this.lapses.replace(
+    this.listUpdater.beginUpdate();
+    this.listUpdater.replace(
       revision,
       listed.map((value) => ({ revision, value })),
     );
   }
 }
 
-test('the first era is no new one, and a lower one is none', (t) => {
+test('the first era is not reported as a new one, and lower eras are ignored', (t) => {
   const fleet = new FleetState();
   const eras: NewEra[] = [];
   fleet.onNewEra((era) => eras.push(era));
@@ -60,7 +60,7 @@
   t.deepEqual(eras, [{ from: 4, to: 6 }]);
 });
 
-test('an era that rises before the list was read is a new one for the entries of the operators', (t) => {
+test('a new era before the list was read resets the revision of the entries written by operators', (t) => {
   const fleet = new FleetState();
   fleet.enterEra(1);
   fleet.confirmOperatorState(50);
@@ -68,80 +68,80 @@
   t.is(fleet.operatorRevision, 0);
 });
 
-test('entries of a new era are taken at any revision', (t) => {
-  const { fleet, lapses } = new Node();
+test('entries of a new era are applied at any revision', (t) => {
+  const { fleet, listUpdater } = new Node();
   fleet.enterEra(2);
-  lapses.beginUpdate();
+  listUpdater.beginUpdate();
   fleet.applyBackend(3, backend('stays', 'draining'));
   t.is(fleet.backend('stays')?.state, 'draining');
 });
 
-test('a backend that said it leaves goes on leaving though the copy lists it as ready', async (t) => {
+test('a draining backend keeps counting as draining although the restored list has it as ready', async (t) => {
   const node = new Node();
-  node.returned(4, [backend('stays'), backend('leaves')]);
+  node.restoreStore(4, [backend('stays'), backend('leaves')]);
   t.true(node.fleet.isLeaving('leaves'));
   t.is(node.fleet.backend('leaves')?.state, 'draining');
-  t.deepEqual(node.fleet.unlistedDepartures('s'), ['leaves'], 'others may not know');
-  await node.clock.runUntil(2 * COPY_LAPSED_MS);
-  t.true(node.fleet.isLeaving('leaves'), 'it never takes that back');
+  t.deepEqual(node.fleet.unlistedDepartures('s'), ['leaves'], 'other nodes may not know');
+  await node.clock.runUntil(2 * RESTORE_PERIOD_MS);
+  t.true(node.fleet.isLeaving('leaves'), 'an announced shutdown is final');
 });
 
-test('a backend that had left is given nothing though the copy lists it, and is gone when its entry lapses', async (t) => {
+test('a backend that had left counts as leaving although the restored list has it, and is removed when its entry expires', async (t) => {
   const node = new Node();
-  node.returned(4, [backend('stays'), backend('gone')]);
+  node.restoreStore(4, [backend('stays'), backend('gone')]);
   t.true(node.fleet.isLeaving('gone'));
-  await node.clock.runUntil(COPY_LAPSED_MS - 1);
+  await node.clock.runUntil(RESTORE_PERIOD_MS - 1);
   t.true(node.fleet.isLeaving('gone'));
-  node.lapses.remove(5, 'gone');
-  await node.clock.runUntil(COPY_LAPSED_MS + 1);
+  node.listUpdater.remove(5, 'gone');
+  await node.clock.runUntil(RESTORE_PERIOD_MS + 1);
   t.is(node.fleet.backend('gone'), undefined);
   t.deepEqual(node.listedAgain, []);
 });
 
-test('a backend that had only lapsed and is still listed when all others have lapsed is used again', async (t) => {
+test('a backend whose entry had only expired is used again if it is still listed when restored entries have expired', async (t) => {
   const node = new Node();
-  node.returned(4, [backend('stays'), backend('gone')]);
-  await node.clock.runUntil(COPY_LAPSED_MS + 1);
+  node.restoreStore(4, [backend('stays'), backend('gone')]);
+  await node.clock.runUntil(RESTORE_PERIOD_MS + 1);
   t.false(node.fleet.isLeaving('gone'));
   t.is(node.fleet.backend('gone')?.state, 'ready');
   t.deepEqual(node.listedAgain, ['gone']);
 });
 
-test('a backend that the copy lacks has two seconds to write its entry again', async (t) => {
+test('a backend that the restored list lacks has two seconds to write its entry again', async (t) => {
   const node = new Node();
-  node.returned(4, []);
+  node.restoreStore(4, []);
   await node.clock.runUntil(RETURN_MS - 1);
   t.is(node.fleet.backend('stays')?.state, 'ready');
   node.fleet.applyBackend(5, backend('stays'));
   await node.clock.runUntil(RETURN_MS + 1);
   t.is(node.fleet.backend('stays')?.state, 'ready');
   const other = new Node();
-  other.returned(4, []);
+  other.restoreStore(4, []);
   await other.clock.runUntil(RETURN_MS + 1);
   t.is(other.fleet.backend('stays'), undefined);
 });
 
-test('a node that begins to read long after the return takes a removal at once', async (t) => {
+test('a removal is applied at once by a node that first reads the list long after the restore', async (t) => {
   const node = new Node();
   node.fleet.enterEra(2);
-  await node.clock.runUntil(COPY_LAPSED_MS);
-  node.lapses.beginUpdate();
-  node.lapses.replace(4, []);
+  await node.clock.runUntil(RESTORE_PERIOD_MS);
+  node.listUpdater.beginUpdate();
+  node.listUpdater.replace(4, []);
   t.is(node.fleet.backend('stays'), undefined);
 });
 
-test('a removal that was held in one era does not take effect in the next one', async (t) => {
+test('a removal that was deferred in one era is not applied in the next one', async (t) => {
   const node = new Node();
-  node.returned(4, []);
+  node.restoreStore(4, []);
   await node.clock.runUntil(RETURN_MS - 500);
   node.fleet.enterEra(3);
-  node.lapses.beginUpdate();
-  node.lapses.replace(2, [{ revision: 2, value: backend('stays') }]);
+  node.listUpdater.beginUpdate();
+  node.listUpdater.replace(2, [{ revision: 2, value: backend('stays') }]);
   await node.clock.runUntil(RETURN_MS + 1);
   t.is(node.fleet.backend('stays')?.state, 'ready');
 });
 
-test('what a peer holds of an earlier era is not taken, and a later era of a peer is entered', (t) => {
+test('the state of a peer in an earlier era is not applied, and a later era of a peer is entered', (t) => {
   const { fleet } = new Node();
   const ahead = new FleetState();
   ahead.enterEra(2);
@@ -153,11 +153,11 @@
   fleet.applyListing(before);
   t.true(fleet.isLeaving('stays'));
   t.is(fleet.backendsRevision, 3);
-  t.true(fleet.backendsReach({ era: 1, revision: 99 }), 'what stands in an earlier era is older');
+  t.true(fleet.backendsReach({ era: 1, revision: 99 }), 'a point in an earlier era is older');
   t.false(fleet.backendsReach({ era: 3, revision: 1 }));
 });
 
-test('a peer that names no era is believed until a new one has begun', (t) => {
+test('the list of a peer that names no era is applied until a new era begins', (t) => {
   const { fleet } = new Node();
   const backends = [{ revision: 12, value: backend('stays', 'draining') }];
   const own = new Node().fleet;
@@ -169,8 +169,9 @@
   t.true(fleet.backendsReach({ revision: 12 }));
 });
 
-// Guards against the old list of a peer that has not heard yet of the first era that the store names.
-test('a node of the first named era takes nothing from one that has read the store without any', (t) => {
+// Guards against applying the old list of a peer that does not know yet that the store has published its
+// first era.
+test('a node in the first published era applies nothing from a peer that read the store before it published one', (t) => {
   const behind = new FleetState();
   behind.replaceBackends(90, [{ revision: 80, value: backend('stays') }]);
   const ahead = new FleetState();
@@ -184,12 +185,12 @@
   started.enterEra(2);
   started.applyBackend(5, backend('stays', 'draining'));
   started.applyListing(behind.listing());
-  t.is(started.backendsRevision, 5, 'nor does one that started in it');
+  t.is(started.backendsRevision, 5, 'also not on a node that started in this era');
   ahead.applyListing({ ...behind.listing(), era: undefined });
-  t.is(ahead.backendsRevision, 5, 'nor from a build that reads no era');
+  t.is(ahead.backendsRevision, 5, 'also not from an older build, which does not know eras');
 });
 
-test('an era of a peer that is no whole number is not entered', (t) => {
+test('an era of a peer that is not an integer is not entered', (t) => {
   const { fleet } = new Node();
   for (const era of ['2', 2.5, NaN, null, Infinity] as unknown as readonly number[]) {
     fleet.applyListing({ era, revision: 12, backends: [] });
@@ -198,7 +199,7 @@
   }
 });
 
-test('nodes that know no era go by revisions alone', (t) => {
+test('nodes that know no era compare revisions alone', (t) => {
   const one = new FleetState();
   const other = new FleetState();
   one.applyBackend(5, backend('b'));
