--- a/packages/clock/src/index.ts
+++ b/packages/clock/src/index.ts
@@ -1,4 +1,4 @@
-/** Time and seeded randomness. Every other package takes both through these interfaces. */
+/** Time and seeded random numbers. All other packages use these interfaces for both. */
 export type { Clock, Timer } from './clock.js';
 export { SystemClock } from './system-clock.js';
 export { VirtualClock } from './virtual-clock.js';
@@ -7,5 +7,5 @@
 export { Random, hashSeed } from './random.js';
 export { jittered, Backoff, type BackoffOptions } from './backoff.js';
 export { Notifier } from './notifier.js';
-export { LoopTurns } from './loop-turns.js';
+export { LoopTurns } from './event-loop-times.js';
 export { SuspendableClock } from './suspendable-clock.js';
