--- a/packages/node/src/control/engine-fleet.ts
+++ b/packages/node/src/control/engine-fleet.ts
@@ -112,12 +112,12 @@
       scheduler = this.#newScheduler(ownership);
       this.#schedulers.set(engine.id, scheduler);
     }
-    scheduler.adopt(state);
+    scheduler.takeOver(state);
     this.#publishNow(engine.id);
   }
 
   lost(ownership: EngineOwnership): void {
-    this.#schedulers.get(ownership.engine.id)?.surrender();
+    this.#schedulers.get(ownership.engine.id)?.relinquish();
     this.#publishNow(ownership.engine.id);
   }
 
@@ -127,7 +127,9 @@
 
   // --- choosing ----------------------------------------------------------------------------------
 
-  /** The engine that costs a request least, among those whose owner is known; `avoid` names ones that refused. */
+  /**
+   * The engine that costs a request least, among those whose owner is known; `avoid` names ones that refused.
+   */
   choose(model: AdapterRef, avoid: ReadonlySet<string>): EngineChoice | undefined {
     const outlooks = this.#outlooks(model, avoid);
     const stallWeight = this.#index?.tuning.stallWeight ?? 0;
--- a/packages/node/src/scheduling/adapter-loader.ts
+++ b/packages/node/src/scheduling/adapter-loader.ts
@@ -13,24 +13,24 @@
   readonly slots: SlotSet;
   readonly clock: Clock;
   readonly telemetry: Telemetry;
-  readonly acquireLoad: (wish: LoadWish, signal: AbortSignal) => Promise<LoadGrant | undefined>;
-  /** Waiting requests for an adapter, weighted by priority. */
+  readonly acquireLoad: (request: LoadWish, signal: AbortSignal) => Promise<LoadGrant | undefined>;
+  /** Number of queued requests for an adapter, weighted by priority. */
   readonly waitingWeight: (key: string) => number;
   readonly evictionCandidate: (slot: Slot) => EvictionCandidate;
-  /** Called when a load has ended; `loaded` tells how, `tookMs` how long it took. */
+  /** Called when a load has ended; `tookMs` includes the waits for a grant and a slot. */
   readonly onLoadEnd: (key: string, outcome: LoadOutcome, tookMs: number) => void;
   readonly onChange: () => void;
 }
 
 export type LoadOutcome = 'loaded' | 'failed' | 'abandoned';
 
-/** A load that has waited this long for a slot makes a busy one drain. */
+/** After waiting this long for a free slot, a load makes the slot in least demand drain. */
 const DRAIN_PATIENCE_MS = 400;
 const LOAD_ATTEMPTS = 3;
 const LOAD_RETRY_MS = 300;
 const IDLE_CHECK_MS = 100;
 
-/** Loads and drops adapters of one owned engine: one task for each load. */
+/** Loads and unloads adapters on one engine that this node owns; each load is a task of its own. */
 export class AdapterLoader {
   readonly #options: AdapterLoaderOptions;
   readonly #clock: Clock;
@@ -49,7 +49,9 @@
     return this.#tasks.has(key);
   }
 
-  /** Loads at once: no more than slots that can be had, and at least one, which waits for a slot. */
+  /**
+   * Maximum number of concurrent loads: the reclaimable slots, but at least one, which then waits for a slot.
+   */
   get limit(): number {
     return Math.max(1, Math.min(this.#options.engine.slots, this.#options.slots.reclaimable));
   }
@@ -60,7 +62,7 @@
     void this.#load(key, abort);
   }
 
-  /** Nobody waits for the adapter any more. */
+  /** Cancels a load because no request waits for the adapter any more. */
   cancel(key: string): void {
     this.#tasks.get(key)?.abort();
   }
@@ -70,14 +72,18 @@
     this.#tasks.clear();
   }
 
-  /** Drops an idle adapter. Returns when the engine has answered. */
+  /**
+   * Unloads an idle adapter; resolves when the engine has answered. If it may not be unloaded now, only waits
+   * a little.
+   */
   async unload(slot: Slot): Promise<void> {
     const { client, ownership, slots, telemetry } = this.#options;
     if (!ownership.mayUnload || !isIdle(slot)) {
       await this.#clock.sleep(IDLE_CHECK_MS);
       return;
     }
-    // From here on no request is sent for it, so it stays idle until the engine has dropped it.
+    // In this state no request is sent to the slot, so it stays idle until the engine has unloaded the
+    // adapter.
     slot.state = 'unloading';
     const order = { kind: 'unload', adapter: slot.adapter, version: slot.version } as const;
     const answer = await client.order(ownership.fence, order);
@@ -86,19 +92,20 @@
       slots.remove(slot, this.#clock.now());
       return;
     }
-    // Unknown whether it arrived, or will: only a higher fence rules out that it strikes later.
-    ownership.abandon('an unload had no answer');
+    // The order may have arrived or may still arrive; only a higher fence rules out that it takes effect
+    // later.
+    ownership.abandon('unload order was not confirmed by the engine');
   }
 
   async #load(key: string, abort: AbortController): Promise<void> {
     const startedAtMs = this.#clock.now();
-    const loaded = await this.#tryLoads(key, abort.signal);
+    const loaded = await this.#loadWithRetries(key, abort.signal);
     if (this.#tasks.get(key) === abort) this.#tasks.delete(key);
     const failure = abort.signal.aborted ? 'abandoned' : 'failed';
     this.#options.onLoadEnd(key, loaded ? 'loaded' : failure, this.#clock.now() - startedAtMs);
   }
 
-  async #tryLoads(key: string, signal: AbortSignal): Promise<boolean> {
+  async #loadWithRetries(key: string, signal: AbortSignal): Promise<boolean> {
     for (let attempt = 0; attempt < LOAD_ATTEMPTS && !signal.aborted; attempt += 1) {
       if (attempt > 0) await this.#clock.sleep(LOAD_RETRY_MS * attempt, signal);
       const weight = this.#options.waitingWeight(key);
@@ -107,47 +114,50 @@
         signal,
       );
       if (grant === undefined) return false;
-      const done = (await this.#makeRoom(signal)) && (await this.#orderLoad(key));
+      const done = (await this.#freeSlot(signal)) && (await this.#orderLoad(key));
       grant.finish();
       if (done) return true;
     }
     return false;
   }
 
-  /** Frees a slot, waiting for one to become idle; false when the load is no longer wanted. */
-  async #makeRoom(signal: AbortSignal): Promise<boolean> {
+  /**
+   * Frees a slot, waiting for one to become idle. False if the load was cancelled or ownership lost
+   * meanwhile.
+   */
+  async #freeSlot(signal: AbortSignal): Promise<boolean> {
     const { slots, ownership } = this.#options;
     const startedAtMs = this.#clock.now();
     while (!signal.aborted && ownership.held) {
       if (!slots.full) return true;
-      const victim = this.#victim();
+      const victim = this.#chooseVictim();
       if (victim !== undefined) {
         await this.unload(victim);
         continue;
       }
-      if (this.#clock.now() - startedAtMs > DRAIN_PATIENCE_MS) this.#drainOne();
+      if (this.#clock.now() - startedAtMs > DRAIN_PATIENCE_MS) this.#drainLeastValuable();
       await this.#clock.sleep(IDLE_CHECK_MS, signal);
     }
     return false;
   }
 
-  #victim(): Slot | undefined {
+  #chooseVictim(): Slot | undefined {
     const idle = this.#options.slots.all().filter(isIdle);
     const drained = idle.find((slot) => slot.draining);
     if (drained !== undefined) return drained;
     const unwanted = idle.filter((slot) => this.#options.waitingWeight(slot.key) === 0);
-    return this.#cheapest(unwanted);
+    return this.#leastValuable(unwanted);
   }
 
-  /** All slots are busy: the one in least demand takes no more requests, so that it becomes idle. */
-  #drainOne(): void {
+  /** When all slots are busy: stops sending requests to the one in least demand, so that it becomes idle. */
+  #drainLeastValuable(): void {
     const ready = this.#options.slots.all().filter((slot) => slot.state === 'ready');
     if (ready.some((slot) => slot.draining)) return;
-    const slot = this.#cheapest(ready);
+    const slot = this.#leastValuable(ready);
     if (slot !== undefined) slot.draining = true;
   }
 
-  #cheapest(slots: readonly Slot[]): Slot | undefined {
+  #leastValuable(slots: readonly Slot[]): Slot | undefined {
     const chosen = chooseVictim(slots.map((slot) => this.#options.evictionCandidate(slot)));
     return chosen === undefined ? undefined : this.#options.slots.get(chosen.key);
   }
@@ -180,7 +190,7 @@
     telemetry.metrics.count('adapter.load_failures');
     const reason = answer.isErr() ? answer.error.kind : answer.value.kind;
     telemetry.event('warn', 'adapter.load-failed', key, { engine: engine.id, reason });
-    if (answer.isErr()) ownership.abandon('a load had no answer');
+    if (answer.isErr()) ownership.abandon('load order was not answered by the engine');
     else if (answer.value.kind === 'stale-fence') ownership.fenceRefused(fence);
     return false;
   }
--- a/packages/node/src/scheduling/engine-scheduler.ts
+++ b/packages/node/src/scheduling/engine-scheduler.ts
@@ -13,23 +13,24 @@
 import type { EngineSchedulerOptions, EngineWork, SchedulerError } from './engine-work.js';
 import { isIdle, type Slot } from './slot.js';
 import { SlotSet } from './slot-set.js';
-import { TicketQueue, type Ticket, type Turn } from './ticket-queue.js';
+import { TicketQueue, type Ticket, type WaitOutcome } from './ticket-queue.js';
 
 const DEMAND_HALF_LIFE_MS = 30_000;
 const REPORT_PERIOD_MS = 700;
+/** Pause before pinned adapters are loaded again after a failed load. */
 const PIN_RETRY_MS = 10_000;
-/** Requests sent beyond the batch, so that the engine never waits for the next one. */
+/** Requests sent beyond the batch size, so that the engine always has the next one at hand. */
 const PIPELINE_MARGIN = 2;
 
-interface TurnTaken {
-  readonly turn: Turn;
+interface WaitEnd {
+  readonly outcome: WaitOutcome;
   readonly ticket: Ticket;
 }
 
 /**
- * Everything that this node sends to one engine it owns: queues requests by adapter, keeps the batch
- * full, has adapters loaded and dropped. In-flight counts are local facts here, so an adapter that
- * serves a request is never unloaded.
+ * Schedules all work for one engine that this node owns: queues requests by adapter, keeps the engine's
+ * batch full, and loads and unloads adapters. Only the owner sends requests to an engine, so the in-flight
+ * counts kept here are exact and an adapter that is serving a request is never unloaded.
  */
 export class EngineScheduler {
   readonly engine: EngineDefinition;
@@ -40,10 +41,13 @@
   readonly #loader: AdapterLoader;
   readonly #demand: DemandTracker;
   #inFlight = 0;
-  #reporting = false;
-  #pinsNotBeforeMs = 0;
-  /** Whether slots drain, or may have to: set by loads, claims and configuration. */
-  #drainingMayChange = true;
+  #pollingReports = false;
+  #pinRetryAtMs = 0;
+  /**
+   * Whether `#updateDraining` has to run: set after loads, claims and configuration changes, and while a slot
+   * drains.
+   */
+  #drainingCheckNeeded = true;
 
   constructor(options: EngineSchedulerOptions) {
     this.engine = options.engine;
@@ -57,7 +61,7 @@
       slots: this.#slots,
       waitingWeight: (key) => this.#waitingWeight(key),
       evictionCandidate: (slot) => this.#evictionCandidate(slot),
-      onLoadEnd: (key, outcome, tookMs) => this.#loadEnded(key, outcome, tookMs),
+      onLoadEnd: (key, outcome, tookMs) => this.#onLoadEnd(key, outcome, tookMs),
     });
   }
 
@@ -83,65 +87,73 @@
     return slot !== undefined || this.#loader.isLoading(key) ? 'loading' : 'absent';
   }
 
-  /** Whether foreign work can be proved over only under a higher fence. */
+  /**
+   * Whether the engine has to be claimed again under a higher fence to prove that untracked work has ended.
+   */
   get wantsNewFence(): boolean {
     const { fence } = this.#options.ownership;
-    return this.#slots.all().some((slot) => (slot.foreign?.provedAtFence ?? 0) > fence);
+    return this.#slots.all().some((slot) => (slot.untracked?.minReportFence ?? 0) > fence);
   }
 
-  get #placeLimit(): number {
+  get #inFlightLimit(): number {
     return this.engine.maxBatch + PIPELINE_MARGIN;
   }
 
-  get #takesWork(): boolean {
+  get #acceptsWork(): boolean {
     return this.#options.ownership.held && !this.#options.isLeaving();
   }
 
-  /** Waits for the adapter and a place in the batch, then runs the generation. */
+  /** Waits until the adapter is loaded and the batch has room, then runs the generation. */
   async submit(
     work: EngineWork,
     sink: StreamSink,
     signal: AbortSignal,
   ): Promise<Result<GenerationEnd, SchedulerError>> {
-    if (!this.#takesWork) return err({ kind: 'not-owner', executed: 'no' });
+    if (!this.#acceptsWork) return err({ kind: 'not-owner', executed: 'no' });
     if (this.#queue.length >= this.#options.queueLimit()) return err({ kind: 'queue-full', executed: 'no' });
     const key = adapterKey(work.request.model);
     this.#demand.add(key);
-    const free = this.#takeFreePlace(key);
-    if (free !== undefined) return this.#dispatch(work, free, 0, sink, signal);
-    const { turn, ticket } = await this.#waitForTurn(work, key, signal);
-    if (turn !== 'go') return err({ kind: turn, executed: 'no' });
+    const reserved = this.#reserveSlot(key);
+    if (reserved !== undefined) return this.#dispatch(work, reserved, 0, sink, signal);
+    const { outcome, ticket } = await this.#waitForTurn(work, key, signal);
+    if (outcome !== 'go') return err({ kind: outcome, executed: 'no' });
     return this.#dispatch(work, ticket.slot, ticket.stallMs, sink, signal);
   }
 
-  /** This node has claimed the engine: takes over what it holds. */
-  adopt(state: OwnedState): void {
+  /** Called when this node has claimed the engine: takes over the adapters loaded on it. */
+  takeOver(state: OwnedState): void {
     const nowMs = this.#clock.now();
     const report = state.report.incarnation === state.incarnation ? state.report : undefined;
-    const foreign = { provedAtFence: state.fence, provedAfterMs: nowMs + this.#options.orderTimeoutMs };
-    this.#slots.adopt(report, foreign, nowMs);
-    this.#drainingMayChange = true;
-    this.#pump();
+    const untracked = { minReportFence: state.fence, snapshotAfterMs: nowMs + this.#options.orderTimeoutMs };
+    this.#slots.resetFromReport(report, untracked, nowMs);
+    this.#drainingCheckNeeded = true;
+    this.#schedule();
     this.#options.onChange();
   }
 
-  /** The engine is no longer this node's: waiting requests are handed back, running ones go on. */
-  surrender(): void {
+  /**
+   * Called when this node has lost the engine: rejects queued requests with `not-owner`; running ones
+   * continue.
+   */
+  relinquish(): void {
     this.#loader.cancelAll();
     this.#slots.clear();
     for (const ticket of this.#queue.takeAll()) ticket.resolve('not-owner');
     this.#options.onChange();
   }
 
-  /** The configuration changed: adapter versions no longer served are dropped once idle. */
+  /**
+   * Called when the configuration or machine list changed: adapter versions no longer served are unloaded
+   * once idle.
+   */
   configurationChanged(): void {
-    this.#drainingMayChange = true;
-    this.#pump();
+    this.#drainingCheckNeeded = true;
+    this.#schedule();
   }
 
-  // --- waiting -----------------------------------------------------------------------------------
+  // --- queueing ----------------------------------------------------------------------------------
 
-  #waitForTurn(work: EngineWork, key: string, signal: AbortSignal): Promise<TurnTaken> {
+  #waitForTurn(work: EngineWork, key: string, signal: AbortSignal): Promise<WaitEnd> {
     const nowMs = this.#clock.now();
     return new Promise((resolve) => {
       const ticket: Ticket = {
@@ -152,50 +164,50 @@
         startTag: this.#queue.nextStartTag(work.caller, work.weight),
         stallMs: 0,
         slot: undefined,
-        resolve: (turn) => {
+        resolve: (outcome) => {
           expiry.cancel();
           signal.removeEventListener('abort', cancelled);
-          resolve({ turn, ticket });
+          resolve({ outcome, ticket });
         },
       };
-      const cancelled = (): void => this.#giveUp(ticket, 'cancelled');
+      const cancelled = (): void => this.#leaveQueue(ticket, 'cancelled');
       const expiry = this.#clock.setTimer(work.deadlineAtMs - nowMs, () =>
-        this.#giveUp(ticket, 'deadline-passed'),
+        this.#leaveQueue(ticket, 'deadline-passed'),
       );
       signal.addEventListener('abort', cancelled, { once: true });
       this.#queue.add(ticket);
-      this.#pump();
+      this.#schedule();
     });
   }
 
-  #giveUp(ticket: Ticket, turn: Turn): void {
+  #leaveQueue(ticket: Ticket, outcome: WaitOutcome): void {
     if (!this.#queue.remove(ticket)) return;
     if (this.#queue.lengthOf(ticket.key) === 0) this.#loader.cancel(ticket.key);
-    ticket.resolve(turn);
+    ticket.resolve(outcome);
   }
 
-  /** Sends what can be sent and starts the loads that are wanted. */
-  #pump(): void {
-    if (!this.#takesWork) {
+  /** Sends queued requests while the batch has room, and starts the adapter loads that the rest wait for. */
+  #schedule(): void {
+    if (!this.#acceptsWork) {
       for (const ticket of this.#queue.takeAll()) ticket.resolve('not-owner');
       return;
     }
-    if (this.#drainingMayChange) this.#updateDraining();
-    while (this.#inFlight < this.#placeLimit) {
-      const ticket = this.#queue.takeNext((key) => this.#accepts(key));
+    if (this.#drainingCheckNeeded) this.#updateDraining();
+    while (this.#inFlight < this.#inFlightLimit) {
+      const ticket = this.#queue.takeNext((key) => this.#isReady(key));
       if (ticket === undefined) break;
-      this.#place(ticket);
+      this.#admit(ticket);
     }
     this.#startLoads();
-    this.#watchReports();
+    this.#startReportPolling();
   }
 
-  #accepts(key: string): boolean {
+  #isReady(key: string): boolean {
     const slot = this.#slots.get(key);
     return slot?.state === 'ready' && !slot.draining;
   }
 
-  #place(ticket: Ticket): void {
+  #admit(ticket: Ticket): void {
     const slot = this.#slots.get(ticket.key);
     if (slot === undefined) this.#inFlight += 1;
     else this.#occupy(slot);
@@ -203,30 +215,36 @@
     ticket.resolve('go');
   }
 
-  /** A version no longer served drains and is dropped; one that drained for a load that ended serves again. */
+  /**
+   * Drains and unloads adapter versions that are no longer served. A slot that was drained to make room for a
+   * load accepts requests again once no load is in progress.
+   */
   #updateDraining(): void {
-    this.#drainingMayChange = false;
+    this.#drainingCheckNeeded = false;
     for (const slot of this.#slots.all()) {
       const served = this.#options.isServed(slot.adapter, slot.version);
       if (!served) slot.draining = true;
       else if (this.#loader.active === 0) slot.draining = false;
-      if (slot.draining) this.#drainingMayChange = true;
+      if (slot.draining) this.#drainingCheckNeeded = true;
       if (!served && isIdle(slot)) void this.#loader.unload(slot).then(() => this.#options.onChange());
     }
   }
 
   // --- running -----------------------------------------------------------------------------------
 
-  /** The common case: nobody waits, the adapter is there and the batch has room. */
-  #takeFreePlace(key: string): Slot | undefined {
-    if (this.#queue.length > 0 || this.#inFlight >= this.#placeLimit) return undefined;
+  /** The common case, without queueing: no request waits, the adapter is loaded and the batch has room. */
+  #reserveSlot(key: string): Slot | undefined {
+    if (this.#queue.length > 0 || this.#inFlight >= this.#inFlightLimit) return undefined;
     const slot = this.#slots.get(key);
     if (slot?.state !== 'ready' || slot.draining) return undefined;
     this.#occupy(slot);
     return slot;
   }
 
-  /** Sends a request whose place is already counted; what has happened since is checked right before. */
+  /**
+   * Sends a request that is already counted as in flight, unless ownership was lost or the request cancelled
+   * meanwhile.
+   */
   #dispatch(
     work: EngineWork,
     slot: Slot | undefined,
@@ -257,20 +275,21 @@
     const { client, ownership } = this.#options;
     const { fence, incarnation } = ownership;
     const answer = await client.generate({ ...work.request, fence }, sink, signal);
-    if (answer.isErr()) this.#noteFailure(answer.error, slot, fence, incarnation);
+    if (answer.isErr()) this.#recordFailure(answer.error, slot, fence, incarnation);
     this.#finish(slot);
     if (answer.isOk()) return ok(answer.value);
     return err({ kind: 'engine', executed: answer.error.executed, cause: answer.error });
   }
 
-  #noteFailure(error: EngineError, slot: Slot, fence: number, incarnation: string): void {
+  #recordFailure(error: EngineError, slot: Slot, fence: number, incarnation: string): void {
     const { ownership, orderTimeoutMs } = this.#options;
     const nowMs = this.#clock.now();
     switch (error.kind) {
       case 'broken':
       case 'cancelled':
-        // The engine may still run it, or start it later; only a report under a higher fence rules that out.
-        slot.foreign = { provedAtFence: fence + 1, provedAfterMs: nowMs + orderTimeoutMs };
+        // The engine may still run the request, or start it later; only a report under a higher fence rules
+        // that out.
+        slot.untracked = { minReportFence: fence + 1, snapshotAfterMs: nowMs + orderTimeoutMs };
         return;
       case 'stale-fence':
         if (incarnation === ownership.incarnation) ownership.fenceRefused(fence);
@@ -292,7 +311,7 @@
       slot.inFlight -= 1;
       slot.lastUsedAtMs = this.#clock.now();
     }
-    this.#pump();
+    this.#schedule();
   }
 
   // --- loading -----------------------------------------------------------------------------------
@@ -304,20 +323,24 @@
     }
   }
 
-  /** Adapters that requests wait for and that are neither held nor on their way, heaviest first. */
+  /**
+   * Adapters to load: those that queued requests wait for, by descending weight, then missing pinned ones.
+   */
   #wantedKeys(): string[] {
     const wanted: { key: string; weight: number }[] = [];
     for (const key of this.#queue.keys()) {
       if (this.#slots.get(key) !== undefined || this.#loader.isLoading(key)) continue;
       wanted.push({ key, weight: this.#waitingWeight(key) });
     }
-    const waitedFor = wanted.sort((a, b) => b.weight - a.weight).map((entry) => entry.key);
-    return [...waitedFor, ...this.#missingPins()];
+    const requestedKeys = wanted.sort((a, b) => b.weight - a.weight).map((entry) => entry.key);
+    return [...requestedKeys, ...this.#missingPinnedKeys()];
   }
 
-  /** Pinned adapters that are not there: loaded when no request waits for a load, and seldom after a failure. */
-  #missingPins(): string[] {
-    if (this.#clock.now() < this.#pinsNotBeforeMs) return [];
+  /**
+   * Pinned adapters that are not loaded and that no request waits for; none for a while after a failed load.
+   */
+  #missingPinnedKeys(): string[] {
+    if (this.#clock.now() < this.#pinRetryAtMs) return [];
     return this.#options
       .pinnedKeys()
       .filter((key) => this.#slots.get(key) === undefined && !this.#loader.isLoading(key))
@@ -338,7 +361,7 @@
     };
   }
 
-  #loadEnded(key: string, outcome: LoadOutcome, tookMs: number): void {
+  #onLoadEnd(key: string, outcome: LoadOutcome, tookMs: number): void {
     const { telemetry, onLoadTime, onChange } = this.#options;
     if (outcome === 'loaded') {
       for (const ticket of this.#queue.waitingFor(key))
@@ -346,32 +369,32 @@
       onLoadTime(tookMs);
       telemetry.step('adapter.load', key, this.engine.id, this.#clock.wallTime() - tookMs);
     }
-    if (outcome === 'failed') this.#pinsNotBeforeMs = this.#clock.now() + PIN_RETRY_MS;
+    if (outcome === 'failed') this.#pinRetryAtMs = this.#clock.now() + PIN_RETRY_MS;
     if (outcome === 'failed') for (const ticket of this.#queue.takeAll(key)) ticket.resolve('load-failed');
-    this.#drainingMayChange = true;
-    this.#pump();
+    this.#drainingCheckNeeded = true;
+    this.#schedule();
     onChange();
   }
 
   // --- reports -----------------------------------------------------------------------------------
 
-  #watchReports(): void {
-    if (this.#reporting || !this.#slots.needsReport) return;
-    this.#reporting = true;
-    void this.#reportTask();
+  #startReportPolling(): void {
+    if (this.#pollingReports || !this.#slots.needsReport) return;
+    this.#pollingReports = true;
+    void this.#pollReports();
   }
 
-  async #reportTask(): Promise<void> {
+  async #pollReports(): Promise<void> {
     const { ownership, client } = this.#options;
     while (ownership.held && this.#slots.needsReport) {
       await this.#clock.sleep(REPORT_PERIOD_MS);
-      const askedAtMs = this.#clock.now();
+      const requestedAtMs = this.#clock.now();
       const { fence, incarnation } = ownership;
       const report = await client.report();
       if (report.isErr() || !ownership.held || report.value.incarnation !== incarnation) continue;
-      this.#slots.compare(report.value, askedAtMs, this.engine.checksFence, fence);
+      this.#slots.applyReport(report.value, requestedAtMs, this.engine.checksFence, fence);
     }
-    this.#reporting = false;
-    this.#pump();
+    this.#pollingReports = false;
+    this.#schedule();
   }
 }
--- a/packages/node/src/scheduling/engine-work.ts
+++ b/packages/node/src/scheduling/engine-work.ts
@@ -4,15 +4,15 @@
 import type { LoadGrant, LoadWish } from '@canvasridge/placement';
 import type { Telemetry } from '@canvasridge/telemetry';
 
-/** A generation for an owned engine. */
+/** A generation to run on an engine that this node owns. */
 export interface EngineWork {
   readonly request: Omit<EngineRequest, 'fence'>;
   readonly caller: string;
-  /** Share of the caller when the engine is full. */
+  /** Relative share of the engine that the caller gets while requests are queued. */
   readonly weight: number;
   /** Monotonic time at which the request must have been sent, in milliseconds. */
   readonly deadlineAtMs: number;
-  /** Told the time waited for a load, in milliseconds, right before the request is sent. */
+  /** Called right before the request is sent, with the time spent waiting for the adapter to load. */
   readonly onDispatch?: (stallMs: number) => void;
 }
 
@@ -31,19 +31,20 @@
   readonly ownership: EngineOwnership;
   readonly clock: Clock;
   readonly telemetry: Telemetry;
-  readonly acquireLoad: (wish: LoadWish, signal: AbortSignal) => Promise<LoadGrant | undefined>;
+  readonly acquireLoad: (request: LoadWish, signal: AbortSignal) => Promise<LoadGrant | undefined>;
   readonly queueLimit: () => number;
-  /** Whether the engine's machine is leaving: it gets no new work. */
+  /** Whether the engine's machine is being removed, in which case the engine gets no new work. */
   readonly isLeaving: () => boolean;
-  /** Adapter versions that this engine holds even while nobody asks for them. */
+  /** Adapter versions that are kept loaded on this engine even without requests for them. */
   readonly pinnedKeys: () => readonly string[];
-  /** Whether another engine is known to hold the adapter. */
+  /** Whether another engine is known to have the adapter loaded. */
   readonly isReplicated: (key: string) => boolean;
-  /** Whether the configuration in force still serves an adapter version. */
+  /** Whether the current configuration still contains this adapter version. */
   readonly isServed: (adapter: string, version: string) => boolean;
-  /** Time during which an order or request may still be on its way, for engines that check no fences. */
+  /** How long an order or request may still be in transit; used for engines that do not check fences. */
   readonly orderTimeoutMs: number;
-  /** Called when the adapters held or the load changed. */
+  /** Called when the loaded adapters, or the number of running or queued requests, may have changed. */
   readonly onChange: () => void;
+  /** Called with the duration of each successful adapter load. */
   readonly onLoadTime: (milliseconds: number) => void;
 }
--- a/packages/node/src/scheduling/slot-set.ts
+++ b/packages/node/src/scheduling/slot-set.ts
@@ -1,13 +1,13 @@
 import type { EngineReport } from '@canvasridge/domain';
-import { isIdle, newSlot, provesIdle, type ForeignWork, type Slot } from './slot.js';
+import { isIdle, newSlot, provesUntrackedWorkEnded, type UntrackedWork, type Slot } from './slot.js';
 
-/** The adapter slots of one engine, as its owner knows them. */
+/** The adapter slots of one engine, as tracked by the node that owns the engine. */
 export class SlotSet {
   readonly capacity: number;
   readonly #slots = new Map<string, Slot>();
-  /** Last time an order changed what the engine holds; older snapshots say nothing about it. */
+  /** When an order last changed the loaded adapters; snapshots from before that are out of date. */
   #changedAtMs = -Infinity;
-  /** Whether a snapshot from after the claim has been compared yet. */
+  /** Whether a snapshot taken after this node claimed the engine has been applied. */
   #synchronised = true;
 
   constructor(capacity: number) {
@@ -30,17 +30,17 @@
     return this.#slots.size >= this.capacity;
   }
 
-  /** Slots that are empty or idle. */
+  /** Number of slots that are empty or idle, so that another adapter can be loaded into them. */
   get reclaimable(): number {
     let idle = 0;
     for (const slot of this.#slots.values()) if (isIdle(slot)) idle += 1;
     return this.capacity - this.#slots.size + idle;
   }
 
-  /** Whether reports are needed to settle what the engine holds and runs. */
+  /** Whether engine reports are needed to establish which adapters are loaded and whether they are idle. */
   get needsReport(): boolean {
     if (!this.#synchronised) return true;
-    for (const slot of this.#slots.values()) if (slot.foreign !== undefined) return true;
+    for (const slot of this.#slots.values()) if (slot.untracked !== undefined) return true;
     return false;
   }
 
@@ -49,7 +49,7 @@
     this.#changedAtMs = nowMs;
   }
 
-  /** Removes exactly this slot; one that took its place stays. */
+  /** Removes `slot`, but not another slot that has replaced it under the same key. */
   remove(slot: Slot, nowMs: number): void {
     if (this.#slots.get(slot.key) !== slot) return;
     this.#slots.delete(slot.key);
@@ -60,38 +60,48 @@
     this.#slots.clear();
   }
 
-  /** Starts over from a report: generations of earlier owners, or of this one, may run on every adapter. */
-  adopt(report: EngineReport | undefined, foreign: ForeignWork, nowMs: number): void {
+  /**
+   * Replaces the slots with the adapters listed in `report` when this node claims the engine. Generations of
+   * earlier owners, or of this node, may still run on each of them.
+   */
+  resetFromReport(report: EngineReport | undefined, untracked: UntrackedWork, nowMs: number): void {
     this.#slots.clear();
     this.#synchronised = false;
     this.#changedAtMs = nowMs;
     for (const loaded of report?.adapters ?? []) {
       const slot = newSlot(loaded, 'ready', nowMs);
-      slot.foreign = foreign;
+      slot.untracked = untracked;
       this.#slots.set(slot.key, slot);
     }
   }
 
-  /** Compares with a report that was asked for at `askedAtMs` under `fence`. */
-  compare(report: EngineReport, askedAtMs: number, checksFence: boolean, fence: number): void {
+  /**
+   * Applies a report that was requested at `requestedAtMs` under `fence`: marks untracked work as ended where
+   * the report proves it, and corrects the set of slots if the report is newer than the last change.
+   */
+  applyReport(report: EngineReport, requestedAtMs: number, checksFence: boolean, fence: number): void {
     for (const slot of this.#slots.values()) {
-      if (provesIdle(slot, report, askedAtMs, checksFence)) slot.foreign = undefined;
+      if (provesUntrackedWorkEnded(slot, report, requestedAtMs, checksFence)) slot.untracked = undefined;
     }
-    const snapshotAtMs = askedAtMs - report.snapshotAgeMs;
+    const snapshotAtMs = requestedAtMs - report.snapshotAgeMs;
     const current = snapshotAtMs > this.#changedAtMs && (!checksFence || report.fence === fence);
     if (!current) return;
     this.#synchronised = true;
-    this.#correct(report, snapshotAtMs);
+    this.#reconcile(report, snapshotAtMs);
   }
 
-  /** An adapter loaded by an earlier owner after the first report is found here, as is a lost one. */
-  #correct(report: EngineReport, snapshotAtMs: number): void {
+  /**
+   * Adds slots for adapters that the engine holds but this node does not know (an earlier owner loaded them
+   * after the first report), and removes slots for adapters that the engine has lost.
+   */
+  #reconcile(report: EngineReport, snapshotAtMs: number): void {
     const held = new Set(report.adapters.map((loaded) => `${loaded.adapter}@${loaded.version}`));
     for (const loaded of report.adapters) {
       const key = `${loaded.adapter}@${loaded.version}`;
       if (this.#slots.has(key)) continue;
       const slot = newSlot(loaded, 'ready', snapshotAtMs);
-      if (loaded.running > 0) slot.foreign = { provedAtFence: report.fence, provedAfterMs: snapshotAtMs };
+      if (loaded.running > 0)
+        slot.untracked = { minReportFence: report.fence, snapshotAfterMs: snapshotAtMs };
       this.#slots.set(key, slot);
     }
     for (const slot of this.#slots.values()) {
--- a/packages/node/src/scheduling/slot.ts
+++ b/packages/node/src/scheduling/slot.ts
@@ -1,27 +1,34 @@
 import type { EngineReport, LoadedAdapter } from '@canvasridge/domain';
 
 /**
- * Work on an adapter that this node cannot count: generations of an earlier owner, or requests of its
- * own whose outcome is unknown. Until a report proves them over, the adapter must not be unloaded.
+ * Requests that may be running on an adapter without being in `inFlight`: generations started by an earlier
+ * owner of the engine, and requests of this node whose outcome is unknown. The adapter must not be unloaded
+ * until an engine report proves that they have ended.
  */
-export interface ForeignWork {
-  /** A report counts only if the engine had at least this fence at its snapshot: older requests are refused from then on. */
-  readonly provedAtFence: number;
-  /** For engines that check no fences: a report counts only if its snapshot is later than this. */
-  readonly provedAfterMs: number;
+export interface UntrackedWork {
+  /**
+   * For engines that check fences: only a report whose snapshot has at least this fence is proof, because the
+   * engine refuses requests with older fences from then on.
+   */
+  readonly minReportFence: number;
+  /**
+   * For engines that do not check fences: only a report whose snapshot was taken after this time is proof.
+   */
+  readonly snapshotAfterMs: number;
 }
 
-/** One adapter slot of an owned engine, as its owner knows it. */
+/** One adapter slot of an engine, as tracked by the node that owns the engine. */
 export interface Slot {
+  /** `ADAPTER@VERSION` */
   readonly key: string;
   readonly adapter: string;
   readonly version: string;
   state: 'loading' | 'ready' | 'unloading';
-  /** Requests of this node running on the adapter. */
+  /** Requests that this node has running on the adapter. */
   inFlight: number;
   lastUsedAtMs: number;
-  foreign: ForeignWork | undefined;
-  /** No further request is sent, so that the slot becomes idle. */
+  untracked: UntrackedWork | undefined;
+  /** No further requests are sent to the adapter, so that the slot becomes idle. */
   draining: boolean;
 }
 
@@ -37,30 +44,30 @@
     state,
     inFlight: 0,
     lastUsedAtMs: nowMs,
-    foreign: undefined,
+    untracked: undefined,
     draining: false,
   };
 }
 
-/** Whether nothing runs on the adapter, as far as can be proved. */
+/** Whether the adapter is loaded and known to run no requests. */
 export function isIdle(slot: Slot): boolean {
-  return slot.state === 'ready' && slot.inFlight === 0 && slot.foreign === undefined;
+  return slot.state === 'ready' && slot.inFlight === 0 && slot.untracked === undefined;
 }
 
-/** Whether `report`, asked for at `askedAtMs`, proves that the foreign work on the slot is over. */
-export function provesIdle(
+/** Whether `report`, requested at `requestedAtMs`, proves that the untracked work on the slot has ended. */
+export function provesUntrackedWorkEnded(
   slot: Slot,
   report: EngineReport,
-  askedAtMs: number,
+  requestedAtMs: number,
   checksFence: boolean,
 ): boolean {
-  if (slot.foreign === undefined) return true;
-  // The snapshot was taken at the earliest `snapshotAgeMs` before the question was sent.
-  const snapshotAtMs = askedAtMs - report.snapshotAgeMs;
+  if (slot.untracked === undefined) return true;
+  // Earliest possible time of the snapshot: its age is relative to some time after the report was requested.
+  const snapshotAtMs = requestedAtMs - report.snapshotAgeMs;
   const conclusive = checksFence
-    ? report.fence >= slot.foreign.provedAtFence
-    : snapshotAtMs > slot.foreign.provedAfterMs;
+    ? report.fence >= slot.untracked.minReportFence
+    : snapshotAtMs > slot.untracked.snapshotAfterMs;
   if (!conclusive) return false;
-  const shown = report.adapters.find((loaded) => `${loaded.adapter}@${loaded.version}` === slot.key);
-  return (shown?.running ?? 0) === 0;
+  const reported = report.adapters.find((loaded) => `${loaded.adapter}@${loaded.version}` === slot.key);
+  return (reported?.running ?? 0) === 0;
 }
--- a/packages/node/src/scheduling/ticket-queue.ts
+++ b/packages/node/src/scheduling/ticket-queue.ts
@@ -1,30 +1,34 @@
 import type { Clock } from '@canvasridge/clock';
 import type { Slot } from './slot.js';
 
-/** What a waiting request is told. */
-export type Turn = 'go' | 'not-owner' | 'load-failed' | 'deadline-passed' | 'cancelled';
+/** How a request's wait ended: `go` means that it may be sent, all others why it may not. */
+export type WaitOutcome = 'go' | 'not-owner' | 'load-failed' | 'deadline-passed' | 'cancelled';
 
-/** A request waiting for its adapter and a place in the batch. */
+/** A request waiting for its adapter to be loaded and for room in the engine's batch. */
 export interface Ticket {
+  /** Adapter and version, as in `Slot.key`. */
   readonly key: string;
   readonly caller: string;
   readonly priority: number;
   readonly enqueuedAtMs: number;
   /** Start tag of weighted fair queueing among callers. */
   readonly startTag: number;
-  /** Time waited while the adapter was not ready, in milliseconds. */
+  /** Time spent waiting for the adapter to be loaded, in milliseconds. */
   stallMs: number;
-  /** The slot it was given, once its turn has come. */
+  /** The slot that the request runs on; set when the wait ends with `go`. */
   slot: Slot | undefined;
-  readonly resolve: (turn: Turn) => void;
+  readonly resolve: (outcome: WaitOutcome) => void;
 }
 
-/** Waiting this long counts as much as one class of priority, so that low classes do not starve. */
+/**
+ * Each interval of this length spent waiting raises a request by one priority class, so that low classes do
+ * not starve.
+ */
 const AGEING_MS = 4000;
 
 /**
- * Requests waiting for one engine, first in first out for each adapter. Among adapters the next is
- * chosen by priority with ageing, then by weighted fair queueing over callers (start-time tags).
+ * Requests waiting for one engine, grouped by adapter. The next request is the one with the highest priority,
+ * which rises with waiting time; equal priorities are ordered by start-time fair queueing over callers.
  */
 export class TicketQueue {
   readonly #clock: Clock;
@@ -53,7 +57,7 @@
     return this.#byKey.get(key) ?? [];
   }
 
-  /** Start tag for the caller's next request: callers with more weight advance more slowly. */
+  /** Start tag for the caller's next request. The tags of callers with more weight grow more slowly. */
   nextStartTag(caller: string, weight: number): number {
     const tag = Math.max(this.#virtualTime, this.#callerTags.get(caller) ?? 0);
     this.#callerTags.set(caller, tag + 1 / weight);
@@ -78,24 +82,24 @@
     return true;
   }
 
-  /** Takes the request that goes next among adapters that `isReady`. */
+  /** Removes and returns the next request among those whose adapter satisfies `isReady`. */
   takeNext(isReady: (key: string) => boolean): Ticket | undefined {
     const nowMs = this.#clock.now();
     let best: Ticket | undefined;
-    let bestClass = -Infinity;
+    let bestPriority = -Infinity;
     for (const [key, queue] of this.#byKey) {
       if (!isReady(key)) continue;
       const head = headOf(queue, nowMs);
       if (head === undefined) continue;
-      const headClass = effectivePriority(head, nowMs);
+      const headPriority = effectivePriority(head, nowMs);
       if (
         best !== undefined &&
-        (headClass < bestClass || (headClass === bestClass && head.startTag >= best.startTag))
+        (headPriority < bestPriority || (headPriority === bestPriority && head.startTag >= best.startTag))
       ) {
         continue;
       }
       best = head;
-      bestClass = headClass;
+      bestPriority = headPriority;
     }
     if (best === undefined) return undefined;
     this.remove(best);
@@ -103,7 +107,7 @@
     return best;
   }
 
-  /** Takes all requests, or those of one adapter. */
+  /** Removes and returns all requests, or those for one adapter. */
   takeAll(key?: string): Ticket[] {
     const taken = key === undefined ? [...this.#byKey.values()].flat() : [...this.waitingFor(key)];
     for (const ticket of taken) this.remove(ticket);
@@ -115,7 +119,10 @@
   return ticket.priority + Math.floor((nowMs - ticket.enqueuedAtMs) / AGEING_MS);
 }
 
-/** The queue of one adapter holds callers of all classes: the best of them, first come first. */
+/**
+ * The request that goes first among those for one adapter: highest priority, then lowest start tag, then
+ * oldest.
+ */
 function headOf(queue: readonly Ticket[], nowMs: number): Ticket | undefined {
   let best: Ticket | undefined;
   for (const ticket of queue) {
