--- a/packages/node/src/control/admin-service.ts
+++ b/packages/node/src/control/admin-service.ts
@@ -26,7 +26,7 @@
   readonly drain: () => void;
 }
 
-/** What operators ask a node. */
+/** Implements the operator calls under `/admin/`. */
 export class AdminService {
   readonly #options: AdminServiceOptions;
 
@@ -62,7 +62,10 @@
     return this.#options.telemetry.ring.dump();
   }
 
-  /** The configuration in force, with what a next revision must follow. */
+  /**
+   * The current configuration, with the revision, digest and service version that the next revision must
+   * follow.
+   */
   configuration(): ConfigurationInForce {
     const { store } = this.#options.follower;
     return {
@@ -73,7 +76,10 @@
     };
   }
 
-  /** What a document would change, given what this node knows of the fleet. */
+  /**
+   * Plans the change to a new configuration document, given the current one and the engines that this node
+   * owns.
+   */
   plan(document: unknown): Result<Plan, Problem> {
     const checked = configurationSchema.safeParse(document);
     if (!checked.success) {
@@ -95,6 +101,7 @@
     return ok(planChange(base, checked.data, { engines }));
   }
 
+  /** Starts draining this node. */
   drain(): void {
     this.#options.drain();
   }
--- a/packages/node/src/control/engine-fleet.ts
+++ b/packages/node/src/control/engine-fleet.ts
@@ -13,7 +13,7 @@
 } from '@canvasridge/placement';
 import type { Telemetry } from '@canvasridge/telemetry';
 import { EngineScheduler } from '../scheduling/engine-scheduler.js';
-import { FleetView, engineRecordKey, takesRequests, type EngineRecord } from './fleet-view.js';
+import { FleetView, engineRecordKey, acceptsRequests, type EngineRecord } from './fleet-view.js';
 
 export interface EngineFleetOptions {
   readonly clock: Clock;
@@ -23,38 +23,41 @@
   readonly member: (id: string) => Member | undefined;
   readonly isLeaving: (machine: string | undefined) => boolean;
   readonly newClient: (engine: EngineDefinition) => EngineClient;
-  readonly acquireLoad: (wish: LoadWish, signal: AbortSignal) => Promise<LoadGrant | undefined>;
+  readonly acquireLoad: (request: LoadWish, signal: AbortSignal) => Promise<LoadGrant | undefined>;
   readonly publish: (key: string, value: EngineRecord) => void;
 }
 
-/** The engine chosen for a request, and who owns it. */
+/** The engine chosen for a request, and the node that owns it. */
 export interface EngineChoice {
   readonly engine: EngineDefinition;
   readonly owner: Member;
-  /** Set when this node is the owner. */
+  /** Defined if this node is the owner. */
   readonly scheduler: EngineScheduler | undefined;
 }
 
+/** Changes of an engine within this time are published together. */
 const PUBLISH_DELAY_MS = 250;
 const INITIAL_LOAD_SECONDS = 1;
 const INITIAL_SERVICE_SECONDS = 2;
-const SMOOTHING = 0.1;
-/** Engines weighed beyond those that hold the adapter. */
-const CANDIDATES_WEIGHED = 4;
-const LOAD_LEVELS = 4;
+/** Weight of the latest value in the moving averages of load and service times. */
+const SMOOTHING_FACTOR = 0.1;
+/** How many engines without the adapter are considered for a request, beside those that have or load it. */
+const MAX_CANDIDATES_WITHOUT_ADAPTER = 4;
+/** Published request counts are rounded to this fraction of the batch size. */
+const PUBLISHED_LOAD_STEPS = 4;
 
-/** All engines as this node sees them: schedulers of those it owns, hints about the others. */
+/** All engines as known to this node: schedulers for those it owns, and published records of the others. */
 export class EngineFleet {
   readonly #options: EngineFleetOptions;
   readonly #view = new FleetView();
   readonly #schedulers = new Map<string, EngineScheduler>();
   readonly #clients = new Map<string, { readonly url: string; readonly client: EngineClient }>();
-  readonly #published = new Map<string, string>();
+  readonly #publishedRecords = new Map<string, string>();
   readonly #publishPending = new Set<string>();
   #ownership: OwnershipManager | undefined;
   #index: ConfigurationIndex | undefined;
-  #pinned: ReadonlyMap<string, readonly string[]> = new Map();
-  #candidates: AdapterCandidates | undefined;
+  #pinnedKeys: ReadonlyMap<string, readonly string[]> = new Map();
+  #adapterCandidates: AdapterCandidates | undefined;
   #loadSeconds = INITIAL_LOAD_SECONDS;
   #serviceSeconds = INITIAL_SERVICE_SECONDS;
 
@@ -66,20 +69,24 @@
     return this.#view;
   }
 
-  /** Set once: manager and fleet need each other. */
+  /**
+   * Sets the ownership manager. Not a constructor option because the manager and the fleet refer to each
+   * other.
+   */
   bind(ownership: OwnershipManager): void {
     this.#ownership = ownership;
   }
 
+  /** Applies a new configuration. */
   configure(index: ConfigurationIndex): void {
     this.#index = index;
-    this.#candidates = new AdapterCandidates(index);
-    this.#pinned = pinsByEngine(index, this.#candidates);
+    this.#adapterCandidates = new AdapterCandidates(index);
+    this.#pinnedKeys = pinsByEngine(index, this.#adapterCandidates);
     this.#ownership?.setEngines(index.configuration.engines);
     for (const scheduler of this.#schedulers.values()) scheduler.configurationChanged();
   }
 
-  /** The machine list changed: work waiting at leaving engines is handed back. */
+  /** Called when the machine list changed: engines on leaving machines reject their queued requests. */
   machinesChanged(): void {
     for (const scheduler of this.#schedulers.values()) scheduler.configurationChanged();
   }
@@ -92,11 +99,13 @@
     return client;
   }
 
+  /** Scheduler of an engine; undefined unless this node owns the engine. */
   schedulerOf(engineId: string): EngineScheduler | undefined {
     const owned = this.#ownership?.get(engineId);
     return owned?.held === true ? this.#schedulers.get(engineId) : undefined;
   }
 
+  /** Schedulers of the engines that this node owns. */
   owned(): readonly EngineScheduler[] {
     return [...this.#schedulers.values()].filter(
       (scheduler) => this.schedulerOf(scheduler.engine.id) !== undefined,
@@ -105,7 +114,7 @@
 
   // --- ownership events --------------------------------------------------------------------------
 
-  held(ownership: EngineOwnership, state: OwnedState): void {
+  onHeld(ownership: EngineOwnership, state: OwnedState): void {
     const { engine } = ownership;
     let scheduler = this.#schedulers.get(engine.id);
     if (scheduler === undefined || scheduler.engine !== engine) {
@@ -116,7 +125,7 @@
     this.#publishNow(engine.id);
   }
 
-  lost(ownership: EngineOwnership): void {
+  onLost(ownership: EngineOwnership): void {
     this.#schedulers.get(ownership.engine.id)?.relinquish();
     this.#publishNow(ownership.engine.id);
   }
@@ -128,17 +137,18 @@
   // --- choosing ----------------------------------------------------------------------------------
 
   /**
-   * The engine that costs a request least, among those whose owner is known; `avoid` names ones that refused.
+   * The engine with the lowest cost for a request, among those whose owner is known; `excluded` holds engines
+   * that have refused the request.
    */
-  choose(model: AdapterRef, avoid: ReadonlySet<string>): EngineChoice | undefined {
-    const outlooks = this.#outlooks(model, avoid);
+  choose(model: AdapterRef, excluded: ReadonlySet<string>): EngineChoice | undefined {
+    const candidates = this.#routeCandidates(model, excluded);
     const stallWeight = this.#index?.tuning.stallWeight ?? 0;
     const times = {
       loadSeconds: this.#loadSeconds,
       loadQueueSeconds: 0,
       serviceSeconds: this.#serviceSeconds,
     };
-    const chosen = chooseEngine(outlooks, times, stallWeight);
+    const chosen = chooseEngine(candidates, times, stallWeight);
     if (chosen === undefined) return undefined;
     const engine = this.#index?.engines.get(chosen.engineId);
     const owner = this.ownerOf(chosen.engineId);
@@ -146,43 +156,43 @@
     return { engine, owner, scheduler: this.schedulerOf(engine.id) };
   }
 
-  /** Member that owns an engine, as far as this node knows. */
+  /** The member that owns an engine, if it is known and accepts requests. */
   ownerOf(engineId: string): Member | undefined {
     if (this.schedulerOf(engineId) !== undefined) return this.#options.self();
     const ownerId = this.#view.ownerOf(engineId);
     if (ownerId === undefined || ownerId === this.#options.self().id) return undefined;
     const member = this.#options.member(ownerId);
-    return takesRequests(member) ? member : undefined;
+    return acceptsRequests(member) ? member : undefined;
   }
 
   observeServiceTime(seconds: number): void {
-    this.#serviceSeconds += SMOOTHING * (seconds - this.#serviceSeconds);
+    this.#serviceSeconds += SMOOTHING_FACTOR * (seconds - this.#serviceSeconds);
   }
 
-  #outlooks(model: AdapterRef, avoid: ReadonlySet<string>): EngineOutlook[] {
+  #routeCandidates(model: AdapterRef, excluded: ReadonlySet<string>): EngineOutlook[] {
     const key = adapterKey(model);
-    const ranked = this.#candidates?.of(model.base, model.adapter) ?? [];
-    const outlooks: EngineOutlook[] = [];
+    const ranked = this.#adapterCandidates?.of(model.base, model.adapter) ?? [];
+    const candidates: EngineOutlook[] = [];
     let absent = 0;
     for (const [rank, engine] of ranked.entries()) {
-      if (avoid.has(engine.id) || this.#options.isLeaving(engine.machine)) continue;
-      const outlook = this.#outlook(engine, key, rank);
-      if (outlook === undefined) continue;
-      if (outlook.adapter === 'absent') {
+      if (excluded.has(engine.id) || this.#options.isLeaving(engine.machine)) continue;
+      const candidate = this.#routeCandidate(engine, key, rank);
+      if (candidate === undefined) continue;
+      if (candidate.adapter === 'absent') {
         absent += 1;
-        if (absent > CANDIDATES_WEIGHED) continue;
+        if (absent > MAX_CANDIDATES_WITHOUT_ADAPTER) continue;
       }
-      outlooks.push(outlook);
+      candidates.push(candidate);
     }
-    return outlooks;
+    return candidates;
   }
 
-  #outlook(engine: EngineDefinition, key: string, rank: number): EngineOutlook | undefined {
+  #routeCandidate(engine: EngineDefinition, key: string, rank: number): EngineOutlook | undefined {
     const sameZone = engine.zone === this.#options.self().zone;
     const scheduler = this.schedulerOf(engine.id);
     if (scheduler === undefined) {
       if (this.ownerOf(engine.id) === undefined) return undefined;
-      return this.#view.outlook(engine, key, rank, sameZone, this.#options.clock.now());
+      return this.#view.routeCandidate(engine, key, rank, sameZone, this.#options.clock.now());
     }
     return {
       engineId: engine.id,
@@ -212,13 +222,13 @@
       queueLimit: () => this.#index?.tuning.queueLimitPerEngine ?? 0,
       isLeaving: () =>
         this.#options.isLeaving(engine.machine) || this.#index?.isLeaving(engine.machine) === true,
-      pinnedKeys: () => this.#pinned.get(engine.id) ?? [],
+      pinnedKeys: () => this.#pinnedKeys.get(engine.id) ?? [],
       isReplicated: (key) => this.#isHeldElsewhere(engine, key),
       isServed: (adapter, version) =>
         this.#index?.adapter(engine.base, adapter)?.versions.includes(version) === true,
       onChange: () => this.#publishSoon(engine.id),
       onLoadTime: (milliseconds) => {
-        this.#loadSeconds += SMOOTHING * (milliseconds / 1000 - this.#loadSeconds);
+        this.#loadSeconds += SMOOTHING_FACTOR * (milliseconds / 1000 - this.#loadSeconds);
       },
     });
   }
@@ -241,12 +251,12 @@
     });
   }
 
-  /** Publishes an engine's record when it says something new. */
+  /** Publishes an engine's record if it differs from the one published last. */
   #publishNow(engineId: string): void {
     const record = this.#record(engineId);
     const text = JSON.stringify(record);
-    if (this.#published.get(engineId) === text) return;
-    this.#published.set(engineId, text);
+    if (this.#publishedRecords.get(engineId) === text) return;
+    this.#publishedRecords.set(engineId, text);
     this.#options.publish(engineRecordKey(engineId), record);
   }
 
@@ -260,15 +270,18 @@
     metrics.gauge('engine.queue', scheduler.queued, [`engine:${engineId}`]);
     const loaded = scheduler.slots().filter((slot) => slot.state === 'ready' && !slot.draining);
     const hashes = loaded.map((slot) => hash32(slot.key)).sort((a, b) => a - b);
-    // Counts go out in coarse steps, so that they do not make news of every request.
-    const step = Math.max(1, Math.floor(maxBatch / LOAD_LEVELS));
+    // Counts are rounded to coarse steps, so that not every request changes the record and has it published.
+    const step = Math.max(1, Math.floor(maxBatch / PUBLISHED_LOAD_STEPS));
     const running = Math.round(scheduler.inFlight / step) * step;
     const queued = Math.round(scheduler.queued / step) * step;
     return [fence, running, queued, Math.min(1, scheduler.reclaimableSlots), hashes];
   }
 }
 
-/** The newest version of each pinned adapter, at its first candidates: every node works out the same. */
+/**
+ * Keys of the pinned adapters for each engine: the newest version of each pinned adapter, on the first
+ * engines of its candidate order. Every node computes the same result.
+ */
 function pinsByEngine(
   index: ConfigurationIndex,
   candidates: AdapterCandidates,
--- a/packages/node/src/control/fleet-view.ts
+++ b/packages/node/src/control/fleet-view.ts
@@ -3,7 +3,10 @@
 import { hash32, type EngineOutlook } from '@canvasridge/placement';
 import * as z from 'zod';
 
-/** [fence, running, queued, reclaimable slots, hashes of loaded adapters] */
+/**
+ * Record that an engine's owner publishes: [fence, running, queued, reclaimable slots, hashes of loaded
+ * adapters].
+ */
 const engineRecord = z.tuple([z.number(), z.number(), z.number(), z.number(), z.array(z.number()).max(4096)]);
 export type EngineRecord = z.infer<typeof engineRecord>;
 
@@ -13,7 +16,7 @@
   return `${KEY_PREFIX}${engineId}`;
 }
 
-/** What peers publish about one engine. */
+/** The latest record that a peer has published about an engine that it owns. */
 interface RemoteEngine {
   readonly owner: string;
   readonly fence: number;
@@ -23,20 +26,25 @@
   readonly loaded: ReadonlySet<number>;
 }
 
-/** A load that this node has caused elsewhere, believed until the owner publishes it. */
+/**
+ * An adapter load that this node's request causes on a peer's engine, assumed until the owner publishes it.
+ */
 interface ExpectedLoad {
   readonly untilMs: number;
 }
 
-const EXPECTATION_MS = 3000;
+/** How long an expected load is assumed without a record that confirms it. */
+const EXPECTED_LOAD_TTL_MS = 3000;
 
-/** What this node knows of engines that others own: late, and only a hint for routing. */
+/**
+ * State of the engines that other nodes own, as published by them. It lags and is only a hint for routing.
+ */
 export class FleetView {
   readonly #engines = new Map<string, RemoteEngine>();
-  readonly #expected = new Map<string, ExpectedLoad>();
-  readonly #sent = new Map<string, number>();
+  readonly #expectedLoads = new Map<string, ExpectedLoad>();
+  readonly #forwardedInFlight = new Map<string, number>();
 
-  /** Takes a record over; ones that are no engine records are ignored. */
+  /** Applies a published record; ignores records that do not describe engines. */
   update(record: PublishedRecord): void {
     if (!record.key.startsWith(KEY_PREFIX)) return;
     const checked = engineRecord.safeParse(record.value);
@@ -44,7 +52,7 @@
     const [fence, running, queued, reclaimable, loaded] = checked.data;
     const engineId = record.key.slice(KEY_PREFIX.length);
     const known = this.#engines.get(engineId);
-    // An owner that let go publishes fence 0; news of an older claim do not override a newer one.
+    // A former owner publishes fence 0. A record of an older claim does not replace that of a newer one.
     if (known !== undefined && known.owner !== record.owner && known.fence > fence) return;
     if (fence === 0) this.#engines.delete(engineId);
     else {
@@ -64,33 +72,42 @@
     return this.#engines.get(engineId)?.owner;
   }
 
+  /** Removes the records of all engines that a node owns. */
   forgetOwner(nodeId: string): void {
     for (const [engineId, engine] of this.#engines)
       if (engine.owner === nodeId) this.#engines.delete(engineId);
   }
 
-  /** A peer answered that it does not own the engine. */
-  refuted(engineId: string, owner: string): void {
+  /**
+   * Removes an engine's record if it still names `owner`, because that node is unreachable or answered that
+   * it does not own the engine.
+   */
+  removeOwner(engineId: string, owner: string): void {
     if (this.#engines.get(engineId)?.owner === owner) this.#engines.delete(engineId);
   }
 
+  /** Whether the engine's owner has published the adapter as loaded. */
   holds(engineId: string, key: string): boolean {
     return this.#engines.get(engineId)?.loaded.has(hash32(key)) === true;
   }
 
-  /** This node has sent a request for `key` there: a load is on its way unless it is held already. */
-  sent(engineId: string, key: string, nowMs: number): void {
-    this.#sent.set(engineId, (this.#sent.get(engineId) ?? 0) + 1);
+  /**
+   * Called when this node forwards a request for `key`: unless the adapter is loaded, the engine is about to
+   * load it.
+   */
+  requestSent(engineId: string, key: string, nowMs: number): void {
+    this.#forwardedInFlight.set(engineId, (this.#forwardedInFlight.get(engineId) ?? 0) + 1);
     if (!this.holds(engineId, key))
-      this.#expected.set(`${engineId}/${key}`, { untilMs: nowMs + EXPECTATION_MS });
+      this.#expectedLoads.set(`${engineId}/${key}`, { untilMs: nowMs + EXPECTED_LOAD_TTL_MS });
   }
 
-  ended(engineId: string): void {
-    this.#sent.set(engineId, Math.max(0, (this.#sent.get(engineId) ?? 0) - 1));
+  /** Called when a forwarded request has ended. */
+  requestEnded(engineId: string): void {
+    this.#forwardedInFlight.set(engineId, Math.max(0, (this.#forwardedInFlight.get(engineId) ?? 0) - 1));
   }
 
-  /** Outlook of an engine that a peer owns. */
-  outlook(
+  /** Routing information about an engine that a peer owns; undefined without a record of it. */
+  routeCandidate(
     engine: EngineDefinition,
     key: string,
     rank: number,
@@ -99,8 +116,8 @@
   ): EngineOutlook | undefined {
     const remote = this.#engines.get(engine.id);
     if (remote === undefined) return undefined;
-    // The owner's published count lags; what this node itself has running there is the least it can be.
-    const running = Math.max(remote.running, this.#sent.get(engine.id) ?? 0);
+    // The published count lags, but at least the requests forwarded by this node are running.
+    const running = Math.max(remote.running, this.#forwardedInFlight.get(engine.id) ?? 0);
     return {
       engineId: engine.id,
       adapter: this.#adapterState(remote, engine.id, key, nowMs),
@@ -120,17 +137,17 @@
     nowMs: number,
   ): EngineOutlook['adapter'] {
     if (remote.loaded.has(hash32(key))) return 'loaded';
-    const expectation = `${engineId}/${key}`;
-    const expected = this.#expected.get(expectation);
+    const expectedKey = `${engineId}/${key}`;
+    const expected = this.#expectedLoads.get(expectedKey);
     if (expected === undefined) return 'absent';
     if (expected.untilMs > nowMs) return 'loading';
-    this.#expected.delete(expectation);
+    this.#expectedLoads.delete(expectedKey);
     return 'absent';
   }
 }
 
-/** Whether a member can be sent requests for an engine it owns. */
-export function takesRequests(member: Member | undefined): boolean {
+/** Whether requests for an engine can be forwarded to the member that owns it. */
+export function acceptsRequests(member: Member | undefined): boolean {
   return (
     member !== undefined &&
     (member.state === 'alive' || member.state === 'suspect' || member.state === 'draining')
--- a/packages/node/src/control/machine-watch.ts
+++ b/packages/node/src/control/machine-watch.ts
@@ -4,7 +4,9 @@
 
 const POLL_MS = 3000;
 
-/** Follows the platform's machine list: seeds for membership, and back ends that are leaving. */
+/**
+ * Polls the platform's machine list, which names seed nodes for membership and the machines that are leaving.
+ */
 export class MachineWatch {
   readonly #list: MachineList;
   readonly #clock: Clock;
@@ -29,42 +31,43 @@
   }
 
   start(): void {
-    void this.#task();
+    void this.#poll();
   }
 
   stop(): void {
     this.#stop.abort();
   }
 
-  /** Whether the platform says that a machine is leaving. Unknown machines count as staying. */
+  /** Whether the machine list has a machine as leaving; false for machines that are not listed. */
   isLeaving(machine: string | undefined): boolean {
     return machine !== undefined && this.#machines.get(machine)?.state === 'leaving';
   }
 
-  /** Names of all entry machines, live or leaving. */
+  /** Ids of all entry machines, including leaving ones. */
   entryNodes(): string[] {
     return [...this.#machines.values()]
       .filter((machine) => machine.role === 'entry')
       .map((machine) => machine.id);
   }
 
-  /** Membership addresses of entry machines. */
+  /** Gossip addresses of the entry machines. */
   seeds(): string[] {
     return [...this.#machines.values()].flatMap((machine) =>
       machine.role === 'entry' && machine.gossip !== undefined ? [machine.gossip] : [],
     );
   }
 
-  async #task(): Promise<void> {
+  async #poll(): Promise<void> {
     while (!this.#stop.signal.aborted) {
       const answer = await this.#list.list();
-      // While the list cannot be read the last one holds: machines do not vanish with the service.
-      if (answer.isOk()) this.#take(answer.value);
+      // While the list cannot be read, the last one stays in use: an outage of the service does not mean that
+      // machines are gone.
+      if (answer.isOk()) this.#apply(answer.value);
       await this.#clock.sleep(jittered(POLL_MS, this.#random), this.#stop.signal);
     }
   }
 
-  #take(machines: readonly Machine[]): void {
+  #apply(machines: readonly Machine[]): void {
     const next = new Map(machines.map((machine) => [machine.id, machine]));
     const changed = [...next.values()].filter(
       (machine) => this.#machines.get(machine.id)?.state !== machine.state,
--- a/packages/node/src/http/body.ts
+++ b/packages/node/src/http/body.ts
@@ -2,7 +2,7 @@
 import { problem, type Problem } from '@canvasridge/domain';
 import { err, ok, type Result } from 'neverthrow';
 
-/** Reads a body of at most `limitBytes`. A longer one is refused before it has been read whole. */
+/** Reads a request body of at most `limitBytes`. A larger one is refused without waiting for its end. */
 export function readBody(message: IncomingMessage, limitBytes: number): Promise<Result<Uint8Array, Problem>> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
--- a/packages/node/src/http/caller-server.ts
+++ b/packages/node/src/http/caller-server.ts
@@ -4,20 +4,22 @@
 import { Hono } from 'hono';
 import type { Directory } from '../requests/directory.js';
 import type { RequestService } from '../requests/request-service.js';
-import { answerExchange, type Handler } from './exchange.js';
+import { handleExchange, type Handler } from './exchange.js';
 import { writeProblem } from './response-sink.js';
 
 export interface CallerServerOptions {
   readonly requests: RequestService;
   readonly directory: Directory;
   readonly bodyLimit: () => number;
-  /** Whether the node takes requests, and whether callers should be sent here. */
+  /** Requests are refused in state `closed`; the readiness check succeeds only in state `ready`. */
   readonly state: () => 'starting' | 'ready' | 'draining' | 'closed';
 }
 
 type Listener = (request: IncomingMessage, response: ServerResponse) => void;
 
-/** HTTP for callers: requests on the direct path, everything else through hono. */
+/**
+ * HTTP listener for callers. Generation, service and stream requests bypass Hono, which handles all others.
+ */
 export function callerListener(options: CallerServerOptions): Listener {
   const app = callerApplication(options);
   const applicationListener = getRequestListener(app.fetch);
@@ -32,10 +34,11 @@
       writeProblem(response, problem('stopping', 'no', { retryAfterSeconds: 1 }));
       return;
     }
-    void answerExchange(request, response, options.bodyLimit(), handler);
+    void handleExchange(request, response, options.bodyLimit(), handler);
   };
 }
 
+/** Handler of a request that bypasses Hono; undefined for all other requests. */
 function directHandler(request: IncomingMessage, requests: RequestService): Handler | undefined {
   const path = request.url ?? '/';
   if (request.method === 'POST' && (path === '/v1/completions' || path === '/v1/chat/completions')) {
--- a/packages/node/src/http/exchange.ts
+++ b/packages/node/src/http/exchange.ts
@@ -4,14 +4,15 @@
 import { readBody } from './body.js';
 import { ResponseSink, writeProblem, type BreakStyle } from './response-sink.js';
 
-/** Answers one request through a sink. */
+/** Handles one request and writes the response to `sink`. */
 export type Handler = (inbound: InboundRequest, sink: StreamSink, signal: AbortSignal) => Promise<RequestEnd>;
 
 /**
- * One HTTP exchange, from the body to the end of the answer. Written on `node:http` itself: an answer
- * through web streams costs more than all the rest of the path (docs/design/streaming-path.md).
+ * Handles one HTTP exchange, from reading the request body to the end of the response. It uses `node:http`
+ * directly because a response through web streams costs more than all other processing of a request
+ * (docs/design/streaming-path.md).
  */
-export async function answerExchange(
+export async function handleExchange(
   request: IncomingMessage,
   response: ServerResponse,
   bodyLimit: number,
--- a/packages/node/src/http/peer-server.ts
+++ b/packages/node/src/http/peer-server.ts
@@ -7,7 +7,7 @@
 import type { AdminService } from '../control/admin-service.js';
 import type { ForwardHandler } from '../requests/forward-handler.js';
 import { problemResponse } from './caller-server.js';
-import { answerExchange, type Handler } from './exchange.js';
+import { handleExchange, type Handler } from './exchange.js';
 import { writeProblem } from './response-sink.js';
 
 export interface PeerServerOptions {
@@ -21,7 +21,7 @@
 
 type Listener = (request: IncomingMessage, response: ServerResponse) => void;
 
-/** HTTP for peers (JSON-RPC, forwarded requests) and operators (`/admin/...`). */
+/** HTTP listener for peers (JSON-RPC and forwarded requests) and operators (`/admin/...`). */
 export function peerListener(options: PeerServerOptions): Listener {
   const app = peerApplication(options);
   const applicationListener = getRequestListener(app.fetch);
@@ -36,7 +36,7 @@
     }
     const { forward } = options;
     const handler: Handler = (inbound, sink, signal) => forward.handle(inbound, sink, signal);
-    void answerExchange(request, response, options.bodyLimit(), handler, 'cut');
+    void handleExchange(request, response, options.bodyLimit(), handler, 'cut');
   };
 }
 
@@ -82,6 +82,7 @@
   return app;
 }
 
+/** Compares two secrets in constant time. */
 function sameSecret(given: string, expected: string): boolean {
   const a = Buffer.from(given);
   const b = Buffer.from(expected);
--- a/packages/node/src/http/response-sink.ts
+++ b/packages/node/src/http/response-sink.ts
@@ -2,8 +2,8 @@
 import type { Problem, StreamSink } from '@canvasridge/domain';
 import type { RequestEnd } from '../requests/inbound.js';
 
-/** Headers that belong to one connection (RFC 9110, section 7.6.1) or are set anew. */
-const NOT_PASSED: ReadonlySet<string> = new Set([
+/** Headers that apply to a single connection (RFC 9110, section 7.6.1) or that this server sets itself. */
+const DROPPED_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'transfer-encoding',
@@ -14,12 +14,12 @@
 ]);
 
 /**
- * What is done with an answer that breaks off after its start: callers are told in an event where the
- * format has one; towards a peer the connection is cut, so that it can resume the stream itself.
+ * How a response that fails after its start is ended. `tell`, for callers, sends an `error` event if the
+ * response is an event stream. `cut`, for peers, closes the connection, so that the peer resumes the stream.
  */
 export type BreakStyle = 'tell' | 'cut';
 
-/** An answer on an HTTP connection. */
+/** Writes a response to an HTTP connection. */
 export class ResponseSink implements StreamSink {
   readonly #response: ServerResponse;
   readonly #onBreak: BreakStyle;
@@ -31,19 +31,19 @@
 
   start(status: number, headers: Readonly<Record<string, string>>): void {
     if (this.#response.headersSent) return;
-    const passed: Record<string, string> = {};
+    const forwarded: Record<string, string> = {};
     for (const name in headers) {
       const value = headers[name];
-      if (value !== undefined && !NOT_PASSED.has(name)) passed[name] = value;
+      if (value !== undefined && !DROPPED_HEADERS.has(name)) forwarded[name] = value;
     }
-    this.#response.writeHead(status, passed);
+    this.#response.writeHead(status, forwarded);
   }
 
   write(chunk: Uint8Array): boolean {
     return this.#response.write(chunk);
   }
 
-  /** Resolves also when the connection has closed, so that no writer waits forever. */
+  /** Also resolves when the connection closes, so that no writer waits forever. */
   waitForDrain(): Promise<void> {
     const response = this.#response;
     if (!response.writableNeedDrain || response.destroyed) return Promise.resolve();
@@ -58,7 +58,7 @@
     });
   }
 
-  /** Ends the answer in the way that fits its end. */
+  /** Ends the response according to how the request ended. */
   finish(end: RequestEnd): void {
     const response = this.#response;
     if (response.destroyed) return;
@@ -69,11 +69,11 @@
     }
     if (!response.headersSent) writeProblem(response, end.problem);
     else if (this.#onBreak === 'cut') response.destroy();
-    else breakOff(response, end.problem);
+    else endIncomplete(response, end.problem);
   }
 }
 
-/** Writes a problem document as the whole answer. */
+/** Writes a problem document as the whole response. */
 export function writeProblem(response: ServerResponse, problem: Problem): void {
   const body = JSON.stringify(problem);
   const headers: Record<string, string | number> = {
@@ -86,10 +86,10 @@
 }
 
 /**
- * The answer has started and cannot be completed. An event stream says so in an `error` event; any other
- * answer is cut, which a client sees as an incomplete body.
+ * Ends a response that has started and cannot be completed. An event stream gets an `error` event; for any
+ * other response the connection is closed, which the client sees as an incomplete body.
  */
-function breakOff(response: ServerResponse, problem: Problem): void {
+function endIncomplete(response: ServerResponse, problem: Problem): void {
   const contentType = String(response.getHeader('content-type') ?? '');
   if (!contentType.startsWith('text/event-stream')) {
     response.destroy();
--- a/packages/node/src/index.ts
+++ b/packages/node/src/index.ts
@@ -1,4 +1,4 @@
-/** The entry node, for its binary and for experiments that run it on a simulated network. */
+/** The entry node, for its executable and for experiments that run it on a simulated network. */
 export { EntryNode, type NodeOptions, type NodePorts, type NodeState } from './node.js';
 export { startNodeProcess, type NodeProcess, type StartError } from './process.js';
 export { nodeSettingsSchema, type NodeSettings } from './settings.js';
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -36,7 +36,9 @@
 import { registerPeerMethods } from './peer-methods.js';
 import { LoadGrants } from './scheduling/load-grants.js';
 
-/** Everything outside of a node. Production binds it to sockets, experiments to a simulated network. */
+/**
+ * Interfaces of a node to the outside: bound to sockets in production, to a simulated network in experiments.
+ */
 export interface NodePorts {
   readonly transport: DatagramTransport;
   readonly peers: PeerCaller;
@@ -62,14 +64,15 @@
 
 export type NodeState = 'starting' | 'ready' | 'draining' | 'closed';
 
+/** Number of nodes per zone that watch the configuration service; the others follow these. */
 const WATCHERS_PER_ZONE = 2;
-const CALL_TIMEOUT_MS = 3000;
+const PEER_CALL_TIMEOUT_MS = 3000;
 const DRAIN_CHECK_MS = 100;
 
 const headAnswer = z.strictObject({ head: headSchema.nullable(), sourceVersion: z.number() });
 const chunkAnswer = z.strictObject({ text: z.string().nullable() });
 
-/** One entry node: membership, configuration, ownership of engines, and the path of requests. */
+/** An entry node: wires membership, configuration, engine ownership and request handling together. */
 export class EntryNode {
   readonly rpc = new PeerRpcServer();
   readonly membership: Membership;
@@ -169,7 +172,7 @@
     return this.#state;
   }
 
-  /** Largest body that callers may send, in bytes. */
+  /** Maximum size of request bodies, in bytes. */
   get bodyLimit(): number {
     const fallback = 1_048_576;
     return this.follower.store.index?.tuning.maxBodyBytes ?? fallback;
@@ -181,7 +184,9 @@
     this.follower.start();
   }
 
-  /** Announces that the node is leaving: directory answers and ownership move to others. */
+  /**
+   * Announces that the node is leaving, so that the directory lists other nodes and engines get other owners.
+   */
   drain(): void {
     if (this.#state === 'draining' || this.#state === 'closed') return;
     this.#state = 'draining';
@@ -191,8 +196,8 @@
   }
 
   /**
-   * Planned stop. Requests that still arrive are served for `lingerMs`, since callers may hold an older
-   * directory answer; then no more are taken, and the node ends when the last one has been answered.
+   * Stops gracefully. New requests are accepted for another `lingerMs`, because callers may still use an
+   * older directory response. After that the node stops when the last request has ended, or after `limitMs`.
    */
   async stop(lingerMs: number, limitMs: number): Promise<void> {
     const { clock } = this.#options;
@@ -200,14 +205,14 @@
     this.drain();
     await clock.sleep(lingerMs);
     this.#state = 'closed';
-    while (!this.#idle() && clock.now() - startedAtMs < limitMs) await clock.sleep(DRAIN_CHECK_MS);
+    while (!this.#isIdle() && clock.now() - startedAtMs < limitMs) await clock.sleep(DRAIN_CHECK_MS);
     this.ownership.stop();
     this.membership.leave();
     await clock.sleep(DRAIN_CHECK_MS);
     this.kill();
   }
 
-  /** Ends all tasks at once, telling nobody. */
+  /** Stops all tasks immediately, without announcing it to other nodes. */
   kill(): void {
     this.#state = 'closed';
     this.follower.stop();
@@ -216,11 +221,11 @@
     this.ownership.stop();
   }
 
-  #idle(): boolean {
+  #isIdle(): boolean {
     return this.requests.active === 0 && this.forwardHandler.active === 0;
   }
 
-  // --- parts -------------------------------------------------------------------------------------
+  // --- components ------------------------------------------------------------------------------------
 
   #newMachineWatch(): MachineWatch {
     const { ports, clock, random, telemetry } = this.#options;
@@ -266,7 +271,13 @@
         head: async (peerId) => {
           const url = peerUrl(peerId);
           if (url === undefined) return undefined;
-          const answer = await ports.peers.call(url, 'configuration.head', {}, headAnswer, CALL_TIMEOUT_MS);
+          const answer = await ports.peers.call(
+            url,
+            'configuration.head',
+            {},
+            headAnswer,
+            PEER_CALL_TIMEOUT_MS,
+          );
           if (answer.isErr() || answer.value.head === null) return undefined;
           return { head: answer.value.head, sourceVersion: answer.value.sourceVersion };
         },
@@ -279,7 +290,7 @@
             'configuration.chunk',
             params,
             chunkAnswer,
-            CALL_TIMEOUT_MS,
+            PEER_CALL_TIMEOUT_MS,
           );
           return answer.isOk() ? (answer.value.text ?? undefined) : undefined;
         },
@@ -289,19 +300,22 @@
       telemetry,
       store: this.#options.revisionStore,
       isWatcher: () => this.#isWatcher(),
-      onRevision: (index) => this.#revisionInForce(index),
+      onRevision: (index) => this.#applyRevision(index),
     });
   }
 
-  /** The few members of each zone with the highest scores hold the watch on the configuration service. */
+  /**
+   * Whether this node is among the members of its zone, by rendezvous score, that watch the configuration
+   * service.
+   */
   #isWatcher(): boolean {
     const { id, zone } = this.membership.identity;
-    const near = this.membership.present().filter((member) => member.zone === zone);
-    const ranked = rankByRendezvous('configuration-watch', near, (member) => member.id);
+    const sameZone = this.membership.present().filter((member) => member.zone === zone);
+    const ranked = rankByRendezvous('configuration-watch', sameZone, (member) => member.id);
     return ranked.slice(0, WATCHERS_PER_ZONE).some((member) => member.id === id);
   }
 
-  #revisionInForce(index: ConfigurationIndex): void {
+  #applyRevision(index: ConfigurationIndex): void {
     if (this.#state === 'starting') this.#state = 'ready';
     this.fleet.configure(index);
     this.membership.pushNow();
@@ -326,9 +340,9 @@
     });
   }
 
-  #shareOfEngines(counts: (engine: EngineDefinition) => boolean): number {
+  #shareOfEngines(matches: (engine: EngineDefinition) => boolean): number {
     const engines = this.follower.store.index?.configuration.engines ?? [];
-    return engines.length === 0 ? 1 : engines.filter(counts).length / engines.length;
+    return engines.length === 0 ? 1 : engines.filter(matches).length / engines.length;
   }
 
   #newFleet(): EngineFleet {
@@ -341,7 +355,7 @@
       member: (id) => this.membership.get(id),
       isLeaving: (machine) => this.#isLeaving(machine),
       newClient: ports.newEngineClient,
-      acquireLoad: (wish, signal) => this.#grants.acquire(wish, signal),
+      acquireLoad: (request, signal) => this.#grants.acquire(request, signal),
       publish: (key, value) => this.membership.publish(key, value),
     });
   }
@@ -361,8 +375,8 @@
       telemetry,
       timing: ownershipTiming ?? DEFAULT_OWNERSHIP_TIMING,
       events: {
-        onHeld: (ownership, state) => this.fleet.held(ownership, state),
-        onLost: (ownership) => this.fleet.lost(ownership),
+        onHeld: (ownership, state) => this.fleet.onHeld(ownership, state),
+        onLost: (ownership) => this.fleet.onLost(ownership),
         wantsNewFence: (engineId) => this.fleet.wantsNewFence(engineId),
       },
     });
@@ -377,7 +391,7 @@
     return `${this.membership.identity.id}-${this.membership.identity.processToken}-${this.#requestCount}`;
   }
 
-  /** Unique for each attempt, so that a resumed stream is that of exactly this attempt. */
+  /** Id of one attempt at a request, unique so that resuming a stream cannot hit another attempt. */
   #newEngineRequestId(requestId: string): string {
     this.#requestCount += 1;
     return `${requestId}.${this.membership.identity.processToken}${this.#requestCount}`;
--- a/packages/node/src/peer-methods.ts
+++ b/packages/node/src/peer-methods.ts
@@ -5,7 +5,7 @@
 import { keyOutcomeParams, transferKeyParams, type KeyProtocol } from './requests/key-protocol.js';
 import { acquireLoadParams, finishLoadParams, type LoadGrants } from './scheduling/load-grants.js';
 
-/** The parts of a node that answer its peers. */
+/** The components that implement the peer methods. */
 export interface PeerMethodOwners {
   readonly ownership: OwnershipManager;
   readonly follower: ConfigurationFollower;
@@ -13,7 +13,7 @@
   readonly keys: KeyProtocol;
 }
 
-/** Registers every JSON-RPC method that peers may call, with the schema of its parameters. */
+/** Registers all JSON-RPC methods that peers may call, each with the schema of its parameters. */
 export function registerPeerMethods(rpc: PeerRpcServer, owners: PeerMethodOwners): void {
   const { ownership, follower, grants, keys } = owners;
   rpc.register('ownership.release', releaseParams, (params) => ownership.handleRelease(params));
--- a/packages/node/src/process.ts
+++ b/packages/node/src/process.ts
@@ -19,7 +19,7 @@
 import { EntryNode } from './node.js';
 import type { NodeSettings } from './settings.js';
 
-/** Why a node process cannot start. */
+/** Why a node process could not start; `field` is the setting with the address. */
 export interface StartError {
   readonly kind: 'cannot-listen';
   readonly field: string;
@@ -27,19 +27,20 @@
   readonly reason: string;
 }
 
+/** Length of the random token that tells a node's process from earlier ones with the same node id. */
 const PROCESS_TOKEN_BYTES = 6;
 
-/** A node bound to real sockets. */
+/** A running node with its listening sockets. */
 export interface NodeProcess {
   readonly node: EntryNode;
   readonly callersUrl: string;
   readonly peersUrl: string;
   readonly gossip: string;
-  /** Planned stop: resolves when the last request has been answered. */
+  /** Stops gracefully: drains, then resolves when all requests have ended or the time limit has passed. */
   stop(): Promise<void>;
 }
 
-/** Binds sockets, then starts the node. */
+/** Binds the sockets, then starts the node. */
 export async function startNodeProcess(settings: NodeSettings): Promise<Result<NodeProcess, StartError>> {
   const { callers, peers, gossip } = settings.listen;
   const transport = await UdpTransport.bind(gossip.host, gossip.port, settings.peerKey);
@@ -139,7 +140,7 @@
     : new StatsdMetrics(statsd.host, statsd.port, settings.node.id);
 }
 
-/** Returns the URL that was bound. */
+/** Starts listening and returns the URL of the bound address. */
 function listen(server: Server, address: HostPort, field: string): Promise<Result<string, StartError>> {
   return new Promise((resolve) => {
     server.once('error', (cause) => {
--- a/packages/node/src/requests/directory.ts
+++ b/packages/node/src/requests/directory.ts
@@ -13,21 +13,21 @@
   readonly present: () => readonly Member[];
 }
 
-/** Answer of `GET /v1/endpoints`. */
-export interface EndpointsAnswer {
+/** Response body of `GET /v1/endpoints`. */
+export interface EndpointsResponse {
   readonly model: string | null;
-  /** How long the caller may go by this answer. */
+  /** How long the caller may use this response. */
   readonly ttlSeconds: number;
-  /** Best first; the caller goes down the list when one does not answer. */
+  /** In order of preference; the caller tries the next one when a node does not respond. */
   readonly endpoints: readonly { readonly node: string; readonly zone: string; readonly url: string }[];
-  /** Home for idempotency keys of requests that may not be repeated; the same for every address listed. */
+  /** Home token for idempotency keys of non-repeatable requests; valid with every node listed. */
   readonly home: string;
 }
 
-const ENDPOINTS_LISTED = 4;
+const MAX_ENDPOINTS = 4;
 const MODELS_PER_PAGE = 1000;
 
-/** Tells callers which nodes to use: the owner of the engine that would serve a model first. */
+/** Lists nodes for callers to use, starting with the owner of the engine that would serve the model. */
 export class Directory {
   readonly #options: DirectoryOptions;
 
@@ -38,24 +38,24 @@
   endpoints(
     authorization: string | undefined,
     query: Readonly<Record<string, string>>,
-  ): Result<EndpointsAnswer, Problem> {
+  ): Result<EndpointsResponse, Problem> {
     return this.#authenticated(authorization).andThen(({ index }) => {
-      const working = this.#options.present().filter((member) => member.state === 'alive');
+      const aliveMembers = this.#options.present().filter((member) => member.state === 'alive');
       const owner = this.#ownerFor(query.model, index);
       if (owner.isErr()) return err(owner.error);
       const zone = query.zone ?? this.#options.self().zone;
-      const ordered = orderMembers(working, owner.value, zone, this.#options.self());
+      const ordered = orderMembers(aliveMembers, owner.value, zone, this.#options.self());
       const [first = this.#options.self()] = ordered;
       return ok({
         model: query.model ?? null,
         ttlSeconds: index.tuning.directoryTtlSeconds,
         endpoints: ordered.map((member) => ({ node: member.id, zone: member.zone, url: member.callerUrl })),
-        home: this.#options.keys.homeAt(first),
+        home: this.#options.keys.newHome(first),
       });
     });
   }
 
-  /** One page of the models that the caller may use. */
+  /** One page of the models that the caller may use, after the name in the `after` query parameter. */
   models(
     authorization: string | undefined,
     query: Readonly<Record<string, string>>,
@@ -97,17 +97,19 @@
   }
 }
 
-/** The owner, then nodes of the caller's zone, then others; this node is always among them. */
+/**
+ * The owner, then nodes in the caller's zone, then others, up to the limit; only this node if there are none.
+ */
 function orderMembers(
-  working: readonly Member[],
+  aliveMembers: readonly Member[],
   owner: Member | undefined,
   zone: string,
   self: Member,
 ): Member[] {
-  const rest = working.filter((member) => member.id !== owner?.id);
-  const near = rest.filter((member) => member.zone === zone);
-  const far = rest.filter((member) => member.zone !== zone);
-  const ownerWorks = owner !== undefined && owner.state === 'alive' ? [owner] : [];
-  const ordered = [...ownerWorks, ...near, ...far].slice(0, ENDPOINTS_LISTED);
+  const rest = aliveMembers.filter((member) => member.id !== owner?.id);
+  const sameZone = rest.filter((member) => member.zone === zone);
+  const otherZones = rest.filter((member) => member.zone !== zone);
+  const aliveOwner = owner !== undefined && owner.state === 'alive' ? [owner] : [];
+  const ordered = [...aliveOwner, ...sameZone, ...otherZones].slice(0, MAX_ENDPOINTS);
   return ordered.length > 0 ? ordered : [self];
 }
--- a/packages/node/src/requests/forward-handler.ts
+++ b/packages/node/src/requests/forward-handler.ts
@@ -20,7 +20,7 @@
 
 const PATH_PREFIX = '/forward';
 
-/** Takes requests that peers forward to this node as the owner of an engine. Never forwards them further. */
+/** Runs requests that peers forward to this node as the owner of an engine. Does not forward them again. */
 export class ForwardHandler {
   readonly #options: ForwardHandlerOptions;
   #active = 0;
@@ -29,6 +29,7 @@
     this.#options = options;
   }
 
+  /** Number of forwarded requests in progress. */
   get active(): number {
     return this.#active;
   }
--- a/packages/node/src/requests/generation-router.ts
+++ b/packages/node/src/requests/generation-router.ts
@@ -19,7 +19,7 @@
 import { refused } from './inbound.js';
 import type { StreamTokens } from './stream-tokens.js';
 
-/** A generation that passed admission. */
+/** An admitted generation request. */
 export interface Generation {
   readonly path: EngineRequest['path'];
   readonly model: AdapterRef;
@@ -28,16 +28,20 @@
   readonly options: RequestOptions;
 }
 
-/** What one attempt came to. */
+/** Result of one attempt. */
 type AttemptOutcome =
   | { readonly kind: 'done' }
-  /** Proved not executed; another attempt may be made. */
+  /**
+   * Proved not to have run. `final` rules out another attempt; `cost` says whether one draws on the retry
+   * budget.
+   */
   | {
       readonly kind: 'not-executed';
       readonly code: ProblemCode;
       readonly cost: 'free' | 'budget';
       readonly final: boolean;
     }
+  /** May have run; `lastEventId` is that of the last event received, or -1. */
   | { readonly kind: 'unknown'; readonly lastEventId: number };
 
 export interface GenerationRouterOptions {
@@ -52,17 +56,18 @@
 }
 
 const RETRY_BACKOFF = { initialMs: 40, maximumMs: 500 } as const;
-/** Time to wait for an engine whose ownership is changing hands. */
-const OWNER_WAIT_MS = 12_000;
-const MOST_ATTEMPTS = 40;
+/** How long to wait for a usable engine, for example while ownership of one is transferred. */
+const ENGINE_WAIT_MS = 12_000;
+const MAX_ATTEMPTS = 40;
 const RESUME_ATTEMPTS = 4;
 const RESUME_BACKOFF = { initialMs: 50, maximumMs: 1000 } as const;
 const RETRY_AFTER_SECONDS = 1;
 
 /**
- * Brings a generation to an engine: chooses one, submits it there or forwards it to its owner, retries
- * what was proved not to have run, resumes what broke off. A request that may have run is run again only
- * if it is repeatable and the caller has seen nothing of it.
+ * Runs a generation: chooses an engine, submits the request to the local scheduler or forwards it to the
+ * engine's owner, retries attempts that are proved not to have run, and resumes interrupted streams. A
+ * request that may have run is repeated only if it is repeatable and no part of the response has reached the
+ * caller.
  */
 export class GenerationRouter {
   readonly #options: GenerationRouterOptions;
@@ -76,19 +81,19 @@
     const { options } = generation;
     const startedAtMs = clock.now();
     const backoff = new Backoff(RETRY_BACKOFF, random);
-    const avoid = new Set<string>();
+    const excluded = new Set<string>();
     let lastCode: ProblemCode = 'no-engine';
-    // Once an attempt may have run, no later refusal of this request can say that it did not.
+    // Once an attempt may have run, a later refusal must not report this request as not executed.
     let executed: Executed = 'no';
     budget.deposit();
-    for (let attempt = 0; attempt < MOST_ATTEMPTS; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       if (signal.aborted) return refused(problem('cancelled', executed));
       if (clock.now() >= options.deadlineAtMs) return refused(problem('deadline-passed', executed));
-      const choice = this.#options.fleet.choose(generation.model, avoid);
+      const choice = this.#options.fleet.choose(generation.model, excluded);
       if (choice === undefined) {
-        if (avoid.size === 0 && clock.now() - startedAtMs > OWNER_WAIT_MS) break;
-        if (avoid.size > 0 && lastCode !== 'not-owner' && attempt > 2) break;
-        avoid.clear();
+        if (excluded.size === 0 && clock.now() - startedAtMs > ENGINE_WAIT_MS) break;
+        if (excluded.size > 0 && lastCode !== 'not-owner' && attempt > 2) break;
+        excluded.clear();
         await clock.sleep(backoff.nextDelayMs(), signal);
         continue;
       }
@@ -96,12 +101,12 @@
       if (outcome.kind === 'done') return { kind: 'completed' };
       if (outcome.kind === 'unknown') {
         executed = 'unknown';
-        const end = await this.#afterUnknown(generation, sink, signal);
+        const end = await this.#handleUnknown(generation, sink, signal);
         if (end !== 'retry') return end;
       } else {
         lastCode = outcome.code;
         if (outcome.final) break;
-        avoid.add(choice.engine.id);
+        excluded.add(choice.engine.id);
       }
       if (outcome.kind === 'unknown' || outcome.cost === 'budget') {
         if (!budget.withdraw()) break;
@@ -124,8 +129,8 @@
     const { options } = generation;
     const engineRequestId = newEngineRequestId(options.requestId);
     if (options.resumable) {
-      const place = { engineId: choice.engine.id, engineRequestId, caller: generation.caller.name };
-      sink.setHeader(Header.stream, this.#options.streams.issue(place));
+      const streamRef = { engineId: choice.engine.id, engineRequestId, caller: generation.caller.name };
+      sink.setHeader(Header.stream, this.#options.streams.issue(streamRef));
     }
     const startedAtMs = clock.wallTime();
     const outcome =
@@ -180,7 +185,7 @@
     const { clock, fleet, forward, telemetry } = this.#options;
     const { engine, owner } = choice;
     telemetry.metrics.count('requests.forwarded');
-    fleet.view.sent(engine.id, `${generation.model.adapter}@${generation.model.version}`, clock.now());
+    fleet.view.requestSent(engine.id, `${generation.model.adapter}@${generation.model.version}`, clock.now());
     const result = await forward.forward(
       {
         peerUrl: owner.peerUrl,
@@ -197,14 +202,17 @@
       sink,
       signal,
     );
-    fleet.view.ended(engine.id);
+    fleet.view.requestEnded(engine.id);
     if (result.isOk()) return { kind: 'done' };
     if (result.error.kind === 'unreachable' || isNotOwner(result.error))
-      fleet.view.refuted(engine.id, owner.id);
+      fleet.view.removeOwner(engine.id, owner.id);
     return forwardOutcome(result.error);
   }
 
-  /** Continues a stream at the engine itself: reading on starts no work, so it needs no ownership. */
+  /**
+   * Resumes a stream directly at the engine. Reading an existing stream starts no work, so any node may do
+   * it.
+   */
   async #resume(
     choice: EngineChoice,
     engineRequestId: string,
@@ -216,7 +224,7 @@
     const client = fleet.clientOf(choice.engine);
     const backoff = new Backoff(RESUME_BACKOFF, random);
     let position = lastEventId;
-    // A single answer, not a stream of events, has no position to go on from.
+    // A response that is not an event stream has no position to resume from.
     if (!sink.isEventStream) return { kind: 'unknown', lastEventId: position };
     for (let attempt = 0; attempt < RESUME_ATTEMPTS && !signal.aborted; attempt += 1) {
       await clock.sleep(backoff.nextDelayMs(), signal);
@@ -231,7 +239,7 @@
     return { kind: 'unknown', lastEventId: position };
   }
 
-  async #afterUnknown(
+  async #handleUnknown(
     generation: Generation,
     sink: RelaySink,
     signal: AbortSignal,
--- a/packages/node/src/requests/inbound.ts
+++ b/packages/node/src/requests/inbound.ts
@@ -2,7 +2,7 @@
 import { Header, Priority, problem, type PriorityName } from '@canvasridge/domain';
 import { err, ok, type Result } from 'neverthrow';
 
-/** A request of a caller, before anything has been decided. Header names are lower-case. */
+/** A request as received from a caller, before any processing. Header names are in lower case. */
 export interface InboundRequest {
   readonly method: string;
   /** Path and query. */
@@ -11,26 +11,28 @@
   readonly body: Uint8Array;
 }
 
-/** What a caller asked for in headers. */
+/** Options that a caller sets in request headers. */
 export interface RequestOptions {
   readonly requestId: string;
   /** Monotonic time of the deadline, in milliseconds. */
   readonly deadlineAtMs: number;
   readonly priority: number;
+  /** Whether the request may be run more than once. */
   readonly repeatable: boolean;
+  /** Idempotency key, and the home token that names the process remembering it. */
   readonly key: string | undefined;
   readonly home: string | undefined;
-  /** Whether the caller may come back for the stream after a broken connection. */
+  /** Whether the stream is kept so that the caller can resume it after a lost connection. */
   readonly resumable: boolean;
 }
 
 const REQUEST_ID = /^[\w.:-]{1,64}$/;
 const KEY = /^[\x21-\x7e]{1,128}$/;
-const LONGEST_DEADLINE_MS = 3_600_000;
+const MAX_DEADLINE_MS = 3_600_000;
 
 type HeaderResult<T> = Result<T, Problem>;
 
-/** Reads the headers; each mistake names the header and what it may hold. */
+/** Parses the request headers; an error names the header, the value found and the values allowed. */
 export function readOptions(
   headers: InboundRequest['headers'],
   caller: CallerDefinition,
@@ -65,15 +67,15 @@
 function readDeadline(text: string | undefined, defaultMs: number): HeaderResult<number> {
   if (text === undefined) return ok(defaultMs);
   const value = Number(text);
-  if (!Number.isFinite(value) || value > LONGEST_DEADLINE_MS || text.trim() === '') {
-    return invalid(Header.deadlineMs, text, `milliseconds left, at most ${LONGEST_DEADLINE_MS}`);
+  if (!Number.isFinite(value) || value > MAX_DEADLINE_MS || text.trim() === '') {
+    return invalid(Header.deadlineMs, text, `milliseconds left, at most ${MAX_DEADLINE_MS}`);
   }
   if (value <= 0)
     return err(problem('deadline-passed', 'no', { detail: `${Header.deadlineMs}: found ${text}` }));
   return ok(value);
 }
 
-/** A caller may lower the priority that the configuration gives it, not raise it. */
+/** A request may lower the priority that the configuration gives to its caller, but not raise it. */
 function readPriority(text: string | undefined, caller: CallerDefinition): HeaderResult<number> {
   const highest = Priority[caller.priority];
   if (text === undefined) return ok(highest);
@@ -89,31 +91,31 @@
   );
 }
 
-/** How a request ended, for the one that answers the caller. */
+/** How a request ended, for the HTTP layer to finish the response. */
 export type RequestEnd =
-  /** The whole answer was passed to the sink. */
+  /** The whole response was written to the sink. */
   | { readonly kind: 'completed' }
-  /** Nothing was passed to the sink; the problem document is the answer. */
+  /** Nothing was written to the sink; the problem document is the response. */
   | { readonly kind: 'refused'; readonly problem: Problem }
-  /** The answer broke off after it had started; the document tells the caller so. */
+  /** The response was interrupted after its start; the problem document says why. */
   | { readonly kind: 'broken-off'; readonly problem: Problem };
 
 export function refused(document: Problem): RequestEnd {
   return { kind: 'refused', problem: document };
 }
 
-/** A sink that knows whether an answer has started, and adds headers to it. */
+/** Passes a response on to another sink, adds headers to it, and records whether it has started. */
 export class RelaySink implements StreamSink {
   readonly #target: StreamSink;
   readonly #headers: Record<string, string>;
   readonly #observer: ((chunk: Uint8Array) => void) | undefined;
-  /** Called once, when the answer starts. */
+  /** Called once, when the response starts. */
   onStart: ((headers: Readonly<Record<string, string>>) => void) | undefined;
   #started = false;
   #status = 0;
-  #answerHeaders: Readonly<Record<string, string>> = {};
+  #responseHeaders: Readonly<Record<string, string>> = {};
 
-  /** @param observer sees each chunk that is passed on */
+  /** @param observer called with each chunk before it is passed on */
   constructor(
     target: StreamSink,
     headers: Readonly<Record<string, string>>,
@@ -124,7 +126,7 @@
     this.#observer = observer;
   }
 
-  /** Adds a header to the answer, unless it has started. */
+  /** Adds a header to the response; without effect once it has started. */
   setHeader(name: string, value: string): void {
     this.#headers[name] = value;
   }
@@ -134,25 +136,27 @@
   }
 
   get isEventStream(): boolean {
-    return this.#answerHeaders['content-type']?.startsWith('text/event-stream') === true;
+    return this.#responseHeaders['content-type']?.startsWith('text/event-stream') === true;
   }
 
   get status(): number {
     return this.#status;
   }
 
-  get answerHeaders(): Readonly<Record<string, string>> {
-    return this.#answerHeaders;
+  get responseHeaders(): Readonly<Record<string, string>> {
+    return this.#responseHeaders;
   }
 
-  /** A resumed stream starts again on another connection; the caller has its headers already. */
+  /**
+   * Ignored after the first call: a resumed stream starts anew, but its headers have been sent to the caller.
+   */
   start(status: number, headers: Readonly<Record<string, string>>): void {
     if (this.#started) return;
     this.#started = true;
     this.#status = status;
-    this.#answerHeaders = { ...headers, ...this.#headers };
-    this.onStart?.(this.#answerHeaders);
-    this.#target.start(status, this.#answerHeaders);
+    this.#responseHeaders = { ...headers, ...this.#headers };
+    this.onStart?.(this.#responseHeaders);
+    this.#target.start(status, this.#responseHeaders);
   }
 
   write(chunk: Uint8Array): boolean {
--- a/packages/node/src/requests/key-protocol.ts
+++ b/packages/node/src/requests/key-protocol.ts
@@ -11,7 +11,7 @@
 import type { Member, PeerCaller } from '@canvasridge/membership';
 import * as z from 'zod';
 
-/** Parameters and answers of the methods that peers call. */
+/** Parameters and results of the methods that peers call on this node. */
 export const transferKeyParams = z.strictObject({ home: z.string(), key: z.string(), process: z.string() });
 export const keyOutcomeParams = z.strictObject({ home: z.string(), key: z.string() });
 
@@ -28,13 +28,16 @@
   readonly self: () => Member;
   readonly member: (id: string) => Member | undefined;
   readonly caller: PeerCaller;
-  /** Keys whose home is this process. */
+  /** Idempotency keys whose home is this process. */
   readonly keys: RequestKeys;
-  /** Keys that other homes handed to this process. */
+  /** Idempotency keys that their home has transferred to this process. */
   readonly delegated: RequestKeys;
 }
 
-/** What a keyed request may do, after the home has been asked. */
+/**
+ * What to do with a keyed request: run it and report the outcome with `settle`, answer with the outcome of an
+ * earlier run, or refuse it because no more keys can be stored.
+ */
 export type KeyDecision =
   | { readonly kind: 'run'; settle(outcome: KeyOutcome, remember?: boolean): void }
   | OutcomeDecision
@@ -50,9 +53,10 @@
 const UNKNOWN: OutcomeDecision = { kind: 'outcome', outcome: { kind: 'unknown' } };
 
 /**
- * Decides who may run a request that is not repeatable. The home named by the caller remembers the key;
- * another node runs it only after the home has handed it the key. Where the home is gone, nobody can
- * tell, and nobody runs it.
+ * Ensures that a request with an idempotency key runs at most once in the cluster. Each key has a home, a
+ * node process named by the caller, which remembers the key. Another process may run the request only after
+ * the home has transferred the key to it. If the home process no longer exists, whether the request has run
+ * cannot be determined, so it is not run.
  */
 export class KeyProtocol {
   readonly #options: KeyProtocolOptions;
@@ -61,51 +65,52 @@
     this.#options = options;
   }
 
-  /** A home for keys that `member` should remember. */
-  homeAt(member: Member): string {
+  /** Home token for keys that are to be remembered by `member`. */
+  newHome(member: Member): string {
     const { id: nodeId, processToken } = member;
     return formatHome({ nodeId, processToken, epoch: this.#options.keys.epoch() });
   }
 
-  /** Undefined when `home` is no home text. */
+  /** Decides on a request with `key`; undefined if `home` is not a valid home token. */
   async decide(home: string, key: string): Promise<KeyDecision | undefined> {
     const parsed = parseHome(home);
     if (parsed === undefined) return undefined;
     const self = this.#options.self();
-    if (parsed.nodeId !== self.id) return this.#decideAway(parsed, home, key);
+    if (parsed.nodeId !== self.id) return this.#decideForRemoteHome(parsed, home, key);
     if (parsed.processToken !== self.processToken) return UNKNOWN;
-    return this.#fromClaim(this.#options.keys.claim(parsed.epoch, key), home, key);
+    return this.#decideFromClaim(this.#options.keys.claim(parsed.epoch, key), home, key);
   }
 
-  async #decideAway(home: HomeToken, homeText: string, key: string): Promise<KeyDecision> {
+  async #decideForRemoteHome(home: HomeToken, homeText: string, key: string): Promise<KeyDecision> {
     const claim = this.#options.delegated.claim(home.epoch, delegatedKey(homeText, key));
-    if (claim.kind !== 'run') return this.#fromClaim(claim, homeText, key);
-    const transfer = await this.#askForKey(home, key);
+    if (claim.kind !== 'run') return this.#decideFromClaim(claim, homeText, key);
+    const transfer = await this.#requestTransfer(home, key);
     if (transfer?.transfer === 'granted') return claim;
-    // This process does not run it, and may ask again later; whoever waits here meanwhile gets the same answer.
-    const decision = await this.#decideRefused(transfer, homeText, key);
+    // This process does not run the request now. Requests that wait here for the same key get the same
+    // decision, but it is not remembered, so that a later request asks the home again.
+    const decision = await this.#decideWithoutTransfer(transfer, homeText, key);
     claim.settle(decision.kind === 'outcome' ? decision.outcome : { kind: 'not-executed' }, false);
     return decision;
   }
 
-  async #decideRefused(
+  async #decideWithoutTransfer(
     transfer: { readonly transfer: KeyTransfer; readonly process: string } | undefined,
     homeText: string,
     key: string,
   ): Promise<OutcomeDecision | { readonly kind: 'full' }> {
     if (transfer === undefined || transfer.transfer === 'unknown') return UNKNOWN;
     if (transfer.transfer === 'full') return { kind: 'full' };
-    return this.#outcomeFrom(transfer.process, homeText, key);
+    return this.#fetchOutcome(transfer.process, homeText, key);
   }
 
-  async #fromClaim(claim: KeyClaim, home: string, key: string): Promise<KeyDecision> {
+  async #decideFromClaim(claim: KeyClaim, home: string, key: string): Promise<KeyDecision> {
     switch (claim.kind) {
       case 'run':
         return claim;
       case 'wait':
         return { kind: 'outcome', outcome: await claim.outcome };
       case 'elsewhere':
-        return this.#outcomeFrom(claim.process, home, key);
+        return this.#fetchOutcome(claim.process, home, key);
       case 'full':
         return { kind: 'full' };
       case 'unknown':
@@ -113,7 +118,7 @@
     }
   }
 
-  async #askForKey(
+  async #requestTransfer(
     home: HomeToken,
     key: string,
   ): Promise<{ readonly transfer: KeyTransfer; readonly process: string } | undefined> {
@@ -125,7 +130,7 @@
     return answer.isOk() ? answer.value : undefined;
   }
 
-  async #outcomeFrom(process: string, home: string, key: string): Promise<OutcomeDecision> {
+  async #fetchOutcome(process: string, home: string, key: string): Promise<OutcomeDecision> {
     const [nodeId = '', processToken = ''] = process.split('~');
     const peer = this.#options.member(nodeId);
     if (peer === undefined || peer.processToken !== processToken) return UNKNOWN;
@@ -140,33 +145,34 @@
     return answer.isOk() ? { kind: 'outcome', outcome: fromWire(answer.value) } : UNKNOWN;
   }
 
-  // --- calls of peers ----------------------------------------------------------------------------
+  // --- calls from peers ---------------------------------------------------------------------------
 
   /**
-   * The caller of this may believe in a process that this one has replaced at its address; only the very
-   * process that the home names can hand its keys out.
+   * Handles a peer's request to transfer a key to it. The peer may mean an earlier process at this address;
+   * only the process named in the home token can transfer its keys.
    */
   handleTransfer(params: z.infer<typeof transferKeyParams>): z.infer<typeof transferAnswer> {
     const { keys, self } = this.#options;
     const home = parseHome(params.home);
-    if (home === undefined || !isHere(home, self())) return { transfer: 'unknown', process: '' };
+    if (home === undefined || !isOwnHome(home, self())) return { transfer: 'unknown', process: '' };
     const transfer = keys.transfer(home.epoch, params.key, params.process);
     const process = keys.delegateOf(home.epoch, params.key) ?? processName(self());
     return { transfer, process };
   }
 
+  /** Handles a peer's question for the outcome of a keyed request, waiting while the request runs. */
   async handleOutcome(params: z.infer<typeof keyOutcomeParams>): Promise<OutcomeAnswer> {
     const home = parseHome(params.home);
     if (home === undefined) return toWire({ kind: 'unknown' });
     const { keys, delegated, self } = this.#options;
-    const outcome = isHere(home, self())
+    const outcome = isOwnHome(home, self())
       ? keys.outcomeOf(home.epoch, params.key)
       : delegated.outcomeOf(home.epoch, delegatedKey(params.home, params.key));
     return toWire((await outcome) ?? { kind: 'unknown' });
   }
 }
 
-function isHere(home: HomeToken, self: Member): boolean {
+function isOwnHome(home: HomeToken, self: Member): boolean {
   return home.nodeId === self.id && home.processToken === self.processToken;
 }
 
--- a/packages/node/src/requests/request-service.ts
+++ b/packages/node/src/requests/request-service.ts
@@ -44,26 +44,30 @@
   readonly newRequestId: () => string;
 }
 
-/** A caller that passed authentication and limits. */
-interface Admitted {
+/** A request that passed authentication, header checks and the caller's limits. */
+interface AdmittedRequest {
   readonly index: ConfigurationIndex;
   readonly caller: CallerDefinition;
   readonly options: RequestOptions;
+  /** Returns the place in the caller's concurrency limit. */
   release(): void;
 }
 
 const BEARER = 'Bearer ';
-const KEY_DIGESTS_CACHED = 10_000;
-const STORED_ANSWER_LIMIT = 65_536;
+const MAX_CACHED_KEY_DIGESTS = 10_000;
+const MAX_RECORDED_BODY_BYTES = 65_536;
 const SERVICE_PREFIX = '/services/';
 const STREAM_PREFIX = '/v1/streams/';
 
-type Run = (sink: RelaySink) => Promise<RequestEnd>;
+type RunRequest = (sink: RelaySink) => Promise<RequestEnd>;
 
-/** The path of every caller's request: authenticate, admit, resolve, run at most once where asked, answer. */
+/**
+ * Handles callers' requests: authenticates and admits them, resolves the model or service, and runs them;
+ * requests that are not repeatable need an idempotency key and run at most once.
+ */
 export class RequestService {
   readonly #options: RequestServiceOptions;
-  readonly #keyDigests = new LRUCache<string, string>({ max: KEY_DIGESTS_CACHED });
+  readonly #keyDigests = new LRUCache<string, string>({ max: MAX_CACHED_KEY_DIGESTS });
   #active = 0;
   #completed = 0;
 
@@ -71,11 +75,12 @@
     this.#options = options;
   }
 
-  /** Requests now being answered. */
+  /** Number of requests in progress. */
   get active(): number {
     return this.#active;
   }
 
+  /** Number of requests completed since the start. */
   get completed(): number {
     return this.#completed;
   }
@@ -83,16 +88,16 @@
   /** `POST /v1/completions` and `/v1/chat/completions`. */
   async generate(inbound: InboundRequest, sink: StreamSink, signal: AbortSignal): Promise<RequestEnd> {
     const admitted = this.#admit(inbound);
-    if (admitted.isErr()) return this.#refuse(admitted.error);
+    if (admitted.isErr()) return this.#countFailure(admitted.error);
     const { caller, options, index } = admitted.value;
-    return this.#whileActive(admitted.value, signal, async (bounded) => {
+    return this.#runTracked(admitted.value, signal, async (runSignal) => {
       const model = this.#readModel(inbound, index, caller);
       if (model.isErr()) return refused(model.error);
       const path = inbound.path as EngineRequest['path'];
       const generation = { path, model: model.value, body: inbound.body, caller, options };
       const headers = { [Header.requestId]: options.requestId };
-      return this.#maybeKeyed(admitted.value, !options.repeatable, sink, headers, (relay) =>
-        this.#options.generations.run(generation, relay, bounded),
+      return this.#runWithKeyIfNeeded(admitted.value, !options.repeatable, sink, headers, (relay) =>
+        this.#options.generations.run(generation, relay, runSignal),
       );
     });
   }
@@ -100,43 +105,45 @@
   /** `/services/NAME/...` */
   async callService(inbound: InboundRequest, sink: StreamSink, signal: AbortSignal): Promise<RequestEnd> {
     const admitted = this.#admit(inbound);
-    if (admitted.isErr()) return this.#refuse(admitted.error);
+    if (admitted.isErr()) return this.#countFailure(admitted.error);
     const { caller, options, index } = admitted.value;
-    return this.#whileActive(admitted.value, signal, async (bounded) => {
+    return this.#runTracked(admitted.value, signal, async (runSignal) => {
       const target = findService(inbound, index, caller);
       if (target.isErr()) return refused(target.error);
       const { service, path } = target.value;
       const repeatable = options.repeatable && !isMarkedNotRepeatable(service, inbound.method, path);
       const headers = { [Header.requestId]: options.requestId };
       const call = { service, path, inbound, options, repeatable };
-      return this.#maybeKeyed(admitted.value, !repeatable, sink, headers, (relay) =>
-        this.#options.services.run(call, relay, bounded),
+      return this.#runWithKeyIfNeeded(admitted.value, !repeatable, sink, headers, (relay) =>
+        this.#options.services.run(call, relay, runSignal),
       );
     });
   }
 
-  /** `GET /v1/streams/TOKEN`: the rest of a stream after the event named by `last-event-id`. */
+  /** `GET /v1/streams/TOKEN`: resumes a stream after the event whose id is in the `last-event-id` header. */
   async resumeStream(inbound: InboundRequest, sink: StreamSink, signal: AbortSignal): Promise<RequestEnd> {
     const authenticated = this.authenticate(inbound);
-    if (authenticated.isErr()) return this.#refuse(authenticated.error);
+    if (authenticated.isErr()) return this.#countFailure(authenticated.error);
     const { caller, index } = authenticated.value;
-    const place = this.#options.streams.open(inbound.path.slice(STREAM_PREFIX.length), caller.name);
-    const engine = place === undefined ? undefined : index.engines.get(place.engineId);
-    if (place === undefined || engine === undefined)
-      return this.#refuse(problem('resume-unavailable', 'unknown'));
+    const streamRef = this.#options.streams.verify(inbound.path.slice(STREAM_PREFIX.length), caller.name);
+    const engine = streamRef === undefined ? undefined : index.engines.get(streamRef.engineId);
+    if (streamRef === undefined || engine === undefined)
+      return this.#countFailure(problem('resume-unavailable', 'unknown'));
     const after = Number(inbound.headers[Header.lastEventId] ?? '-1');
     if (!Number.isInteger(after) || after < -1) {
       const detail = `${Header.lastEventId}: found "${inbound.headers[Header.lastEventId] ?? ''}", expected the id of an event`;
-      return this.#refuse(problem('invalid-header', 'no', { detail }));
+      return this.#countFailure(problem('invalid-header', 'no', { detail }));
     }
     const relay = new RelaySink(sink, {});
-    const result = await this.#options.clientOf(engine).resume(place.engineRequestId, after, relay, signal);
+    const result = await this.#options
+      .clientOf(engine)
+      .resume(streamRef.engineRequestId, after, relay, signal);
     if (result.isOk()) return { kind: 'completed' };
     const document = problem('resume-unavailable', 'unknown', { detail: result.error.kind });
-    return this.#refuse(relay.started ? { kind: 'broken-off', problem: document } : document);
+    return this.#countFailure(relay.started ? { kind: 'broken-off', problem: document } : document);
   }
 
-  /** The caller of a request that needs no admission, such as the directory. */
+  /** Identifies the caller by its bearer key, without admission; enough for directory requests. */
   authenticate(
     inbound: InboundRequest,
   ): Result<{ index: ConfigurationIndex; caller: CallerDefinition }, Problem> {
@@ -152,7 +159,7 @@
 
   // --- admission ---------------------------------------------------------------------------------
 
-  #admit(inbound: InboundRequest): Result<Admitted, Problem> {
+  #admit(inbound: InboundRequest): Result<AdmittedRequest, Problem> {
     return this.authenticate(inbound).andThen(({ index, caller }) => {
       const { clock, limits, newRequestId } = this.#options;
       const defaultMs = index.tuning.defaultDeadlineMs;
@@ -202,10 +209,10 @@
 
   // --- running -----------------------------------------------------------------------------------
 
-  async #whileActive(
-    admitted: Admitted,
+  async #runTracked(
+    admitted: AdmittedRequest,
     signal: AbortSignal,
-    run: (bounded: AbortSignal) => Promise<RequestEnd>,
+    run: (runSignal: AbortSignal) => Promise<RequestEnd>,
   ): Promise<RequestEnd> {
     const { telemetry, clock } = this.#options;
     const startedAtMs = clock.wallTime();
@@ -215,26 +222,26 @@
     this.#active -= 1;
     admitted.release();
     telemetry.step(`request.${end.kind}`, admitted.options.requestId, admitted.caller.name, startedAtMs);
-    if (end.kind !== 'completed') return this.#refuse(end);
+    if (end.kind !== 'completed') return this.#countFailure(end);
     this.#completed += 1;
     telemetry.metrics.count('requests.completed');
     return end;
   }
 
-  async #maybeKeyed(
-    admitted: Admitted,
+  async #runWithKeyIfNeeded(
+    admitted: AdmittedRequest,
     needsKey: boolean,
     sink: StreamSink,
     headers: Readonly<Record<string, string>>,
-    run: Run,
+    run: RunRequest,
   ): Promise<RequestEnd> {
     const { key, home } = admitted.options;
-    if (!needsKey) return run(this.#observed(new RelaySink(sink, headers)));
+    if (!needsKey) return run(this.#withTimings(new RelaySink(sink, headers)));
     if (key === undefined || home === undefined) {
       const detail = `send "${Header.idempotencyKey}" and "${Header.home}"; GET /v1/endpoints gives a home`;
       return refused(problem('key-required', 'no', { detail }));
     }
-    // Keys of different callers never meet.
+    // The caller's name is part of the key, so that callers cannot use each other's keys.
     const decision = await this.#options.keys.decide(home, `${admitted.caller.name}/${key}`);
     if (decision === undefined) {
       const detail = `${Header.home}: found "${home.slice(0, 80)}", expected a home from GET /v1/endpoints`;
@@ -242,26 +249,27 @@
     }
     if (decision.kind === 'full') return refused(problem('overloaded', 'no', { retryAfterSeconds: 1 }));
     if (decision.kind === 'outcome') return replay(decision.outcome, sink, headers);
-    const recording = new AnswerRecording();
-    const relay = this.#observed(new RelaySink(sink, headers, (chunk) => recording.add(chunk)));
+    const recording = new ResponseRecording();
+    const relay = this.#withTimings(new RelaySink(sink, headers, (chunk) => recording.add(chunk)));
     const end = await run(relay);
     decision.settle(recording.outcome(end, relay));
     return end;
   }
 
-  /** Measures the time to the start of the answer, and the load stall that the answer names. */
-  #observed(relay: RelaySink): RelaySink {
+  /** Records the time to the start of the response, and the load stall that its header reports. */
+  #withTimings(relay: RelaySink): RelaySink {
     const { clock, telemetry } = this.#options;
     const startedAtMs = clock.now();
-    relay.onStart = (answerHeaders) => {
+    relay.onStart = (responseHeaders) => {
       telemetry.metrics.timing('request.first_token', clock.now() - startedAtMs);
-      const stallMs = answerHeaders[Header.loadStallMs];
+      const stallMs = responseHeaders[Header.loadStallMs];
       if (stallMs !== undefined) telemetry.metrics.timing('request.load_stall', Number(stallMs));
     };
     return relay;
   }
 
-  #refuse(failure: Problem | RequestEnd): RequestEnd {
+  /** Counts a request that did not complete, as refused or with unknown outcome. */
+  #countFailure(failure: Problem | RequestEnd): RequestEnd {
     const end = 'code' in failure ? refused(failure) : failure;
     if (end.kind === 'completed') return end;
     const { code, executed } = end.problem;
@@ -272,26 +280,26 @@
   }
 }
 
-/** Keeps the answer of a keyed request while it passes, up to a limit. */
-class AnswerRecording {
+/** Records the body of a keyed request's response while it is relayed, up to a size limit. */
+class ResponseRecording {
   readonly #chunks: Uint8Array[] = [];
   #bytes = 0;
 
   add(chunk: Uint8Array): void {
     this.#bytes += chunk.length;
-    if (this.#bytes <= STORED_ANSWER_LIMIT) this.#chunks.push(chunk);
+    if (this.#bytes <= MAX_RECORDED_BODY_BYTES) this.#chunks.push(chunk);
   }
 
   outcome(end: RequestEnd, relay: RelaySink): KeyOutcome {
     if (end.kind === 'refused' && end.problem.executed === 'no') return { kind: 'not-executed' };
     if (end.kind !== 'completed') return { kind: 'unknown' };
-    if (this.#bytes > STORED_ANSWER_LIMIT) return { kind: 'answer-dropped' };
+    if (this.#bytes > MAX_RECORDED_BODY_BYTES) return { kind: 'answer-dropped' };
     const body = Buffer.concat(this.#chunks);
-    return { kind: 'answered', answer: { status: relay.status, headers: relay.answerHeaders, body } };
+    return { kind: 'answered', answer: { status: relay.status, headers: relay.responseHeaders, body } };
   }
 }
 
-/** Answers a resend from what is remembered of the first request. */
+/** Answers a repeated request from the recorded outcome of the first request with the same key. */
 function replay(
   outcome: KeyOutcome,
   sink: StreamSink,
--- a/packages/node/src/requests/service-router.ts
+++ b/packages/node/src/requests/service-router.ts
@@ -15,7 +15,7 @@
 
 export interface ServiceCall {
   readonly service: ServiceDefinition;
-  /** Path and query below the service. */
+  /** Path and query, relative to the service. */
   readonly path: string;
   readonly inbound: InboundRequest;
   readonly options: RequestOptions;
@@ -34,16 +34,19 @@
 
 interface BackEndState {
   inFlight: number;
-  /** Until then the back end counts as failing. */
+  /** The back end is treated as failing until this time. */
   failingUntilMs: number;
 }
 
-const FAILURE_PAUSE_MS = 2000;
+const FAILURE_PENALTY_MS = 2000;
 const RETRY_BACKOFF = { initialMs: 30, maximumMs: 300 } as const;
-const PASSED_HEADERS = ['content-type', 'accept', 'idempotency-key'] as const;
+const FORWARDED_HEADERS = ['content-type', 'accept', 'idempotency-key'] as const;
 const RETRY_AFTER_SECONDS = 1;
 
-/** Brings calls to plain services: least loaded back end of the nearest zone, retries where that is safe. */
+/**
+ * Sends calls to HTTP services: to the least loaded back end, preferring this node's zone, with retries where
+ * safe.
+ */
 export class ServiceRouter {
   readonly #options: ServiceRouterOptions;
   readonly #states = new Map<string, BackEndState>();
@@ -56,7 +59,7 @@
     const { clock, random, budget, telemetry } = this.#options;
     const backoff = new Backoff(RETRY_BACKOFF, random);
     const tried = new Set<string>();
-    // Once an attempt may have run, no later refusal of this call can say that it did not.
+    // Once an attempt may have run, a later refusal must not report this call as not executed.
     let executed: Executed = 'no';
     budget.deposit();
     for (;;) {
@@ -94,17 +97,20 @@
     state.inFlight -= 1;
     telemetry.step('service.call', call.options.requestId, backEnd.url, startedAtMs);
     if (result.isOk()) return undefined;
-    if (result.error.kind !== 'cancelled') state.failingUntilMs = clock.now() + FAILURE_PAUSE_MS;
+    if (result.error.kind !== 'cancelled') state.failingUntilMs = clock.now() + FAILURE_PENALTY_MS;
     return result.error;
   }
 
-  /** Not tried yet and not leaving; those that failed lately come last, then other zones, then load. */
+  /**
+   * Among back ends that were not tried yet and whose machine is not leaving: prefers those without a recent
+   * failure, then the lowest number of requests in flight, where another zone counts as `zoneCost` requests.
+   */
   #choose(service: ServiceDefinition, tried: ReadonlySet<string>): BackEnd | undefined {
-    const open = service.backEnds.filter(
+    const eligible = service.backEnds.filter(
       (backEnd) => !tried.has(backEnd.url) && !this.#options.isLeaving(backEnd.machine),
     );
     return this.#options.random
-      .shuffle(open)
+      .shuffle(eligible)
       .sort((a, b) => this.#cost(a) - this.#cost(b))
       .at(0);
   }
@@ -129,7 +135,7 @@
 
 function toServiceRequest(call: ServiceCall): Parameters<ServiceClient['call']>[1] {
   const headers: Record<string, string> = { 'x-request-id': call.options.requestId };
-  for (const name of PASSED_HEADERS) {
+  for (const name of FORWARDED_HEADERS) {
     const value = call.inbound.headers[name];
     if (value !== undefined) headers[name] = value;
   }
--- a/packages/node/src/requests/stream-tokens.ts
+++ b/packages/node/src/requests/stream-tokens.ts
@@ -1,7 +1,7 @@
 import { createHmac, timingSafeEqual } from 'node:crypto';
 
-/** Where a stream can be picked up again, and who may. */
-export interface StreamPlace {
+/** The engine request whose stream can be resumed, and the caller that may do so. */
+export interface StreamRef {
   readonly engineId: string;
   readonly engineRequestId: string;
   readonly caller: string;
@@ -10,8 +10,8 @@
 const MAC_BYTES = 12;
 
 /**
- * Tokens by which a caller picks up a stream at any node. They are sealed with the key that nodes share,
- * and name the caller, so that nobody reads another's answer.
+ * Issues and verifies the tokens with which a caller resumes a stream at any node. A token is authenticated
+ * with an HMAC under the key shared by all nodes, and names the caller, so that no other caller can use it.
  */
 export class StreamTokens {
   readonly #key: string;
@@ -20,27 +20,29 @@
     this.#key = key;
   }
 
-  issue(place: StreamPlace): string {
-    const content = Buffer.from(JSON.stringify([place.engineId, place.engineRequestId, place.caller]));
-    return `${content.toString('base64url')}.${this.#seal(content).toString('base64url')}`;
+  issue(streamRef: StreamRef): string {
+    const content = Buffer.from(
+      JSON.stringify([streamRef.engineId, streamRef.engineRequestId, streamRef.caller]),
+    );
+    return `${content.toString('base64url')}.${this.#mac(content).toString('base64url')}`;
   }
 
-  /** The place, or undefined for a token that is forged, damaged or another caller's. */
-  open(token: string, caller: string): StreamPlace | undefined {
-    const [contentText = '', sealText = ''] = token.split('.');
+  /** The stream of a token; undefined if the token is forged, damaged or issued to another caller. */
+  verify(token: string, caller: string): StreamRef | undefined {
+    const [contentText = '', macText = ''] = token.split('.');
     const content = Buffer.from(contentText, 'base64url');
-    const seal = Buffer.from(sealText, 'base64url');
-    const expected = this.#seal(content);
-    if (seal.length !== expected.length || !timingSafeEqual(seal, expected)) return undefined;
-    const [engineId, engineRequestId, owner] = JSON.parse(content.toString('utf8')) as [
+    const mac = Buffer.from(macText, 'base64url');
+    const expected = this.#mac(content);
+    if (mac.length !== expected.length || !timingSafeEqual(mac, expected)) return undefined;
+    const [engineId, engineRequestId, tokenCaller] = JSON.parse(content.toString('utf8')) as [
       string,
       string,
       string,
     ];
-    return owner === caller ? { engineId, engineRequestId, caller } : undefined;
+    return tokenCaller === caller ? { engineId, engineRequestId, caller } : undefined;
   }
 
-  #seal(content: Uint8Array): Buffer {
+  #mac(content: Uint8Array): Buffer {
     return createHmac('sha256', this.#key).update('stream').update(content).digest().subarray(0, MAC_BYTES);
   }
 }
--- a/packages/node/test/bad-input.test.ts
+++ b/packages/node/test/bad-input.test.ts
@@ -42,7 +42,9 @@
   return createHash('sha256').update(text).digest('hex');
 }
 
-/** The platform, as far as a node that serves no request needs it. */
+/**
+ * Starts a stand-in of the platform: a configuration service with one revision, and an empty machine list.
+ */
 async function startPlatform(): Promise<Server> {
   const { documents } = publishable(configuration, { revision: 0, digest: '0'.repeat(64) }, 0);
   const values = new Map(documents.map((document) => [document.key, document.value]));
@@ -92,7 +94,7 @@
   readonly body?: string;
   readonly status: number;
   readonly code: string;
-  /** What the detail must name. */
+  /** Text that the problem's detail must contain. */
   readonly names?: string;
 }
 
@@ -141,14 +143,14 @@
     names: '2048',
   },
   {
-    name: 'a deadline already past',
+    name: 'a deadline of 0 ms',
     headers: { 'canvasridge-deadline-ms': '0' },
     status: 504,
     code: 'deadline-passed',
     names: 'canvasridge-deadline-ms',
   },
   {
-    name: 'a deadline that is no number',
+    name: 'a deadline that is not a number',
     headers: { 'canvasridge-deadline-ms': 'soon' },
     status: 400,
     code: 'invalid-header',
@@ -162,21 +164,21 @@
     names: 'interactive',
   },
   {
-    name: 'a repeatable mark that is neither yes nor no',
+    name: 'a repeatable header that is neither yes nor no',
     headers: { 'canvasridge-repeatable': 'maybe' },
     status: 400,
     code: 'invalid-header',
     names: 'canvasridge-repeatable',
   },
   {
-    name: 'a request that runs once without a key',
+    name: 'a non-repeatable request without a key',
     headers: { 'canvasridge-repeatable': 'no' },
     status: 428,
     code: 'key-required',
     names: 'idempotency-key',
   },
   {
-    name: 'a home that is none',
+    name: 'an invalid home token',
     headers: { 'canvasridge-repeatable': 'no', 'idempotency-key': 'k', 'canvasridge-home': 'nowhere' },
     status: 400,
     code: 'invalid-header',
@@ -198,7 +200,7 @@
     names: 'payouts',
   },
   {
-    name: 'a service call that runs once without a key',
+    name: 'a non-repeatable service call without a key',
     path: '/services/payouts/confirm',
     status: 428,
     code: 'key-required',
@@ -207,7 +209,7 @@
 ];
 
 for (const bad of badRequests) {
-  test(`${bad.name} is refused as ${bad.code}, not executed, with a detail that helps`, async (t) => {
+  test(`${bad.name} is refused with code ${bad.code} as not executed, with a detail that names the cause`, async (t) => {
     const response = await request(`${node.callersUrl}${bad.path ?? '/v1/completions'}`, {
       method: 'POST',
       headers: {
@@ -227,7 +229,7 @@
   });
 }
 
-test('a request that runs once and whose home process is unknown is not run, and told so', async (t) => {
+test('a non-repeatable request whose home process is unknown is refused with code outcome-unknown', async (t) => {
   const response = await request(`${node.callersUrl}/services/payouts/confirm`, {
     method: 'POST',
     headers: {
@@ -241,7 +243,7 @@
   t.is(problem.executed, 'unknown');
 });
 
-test('a call to a service whose back end cannot be reached is truly refused, with a time to come back', async (t) => {
+test('a call to a service with an unreachable back end is refused as not executed, with a Retry-After header', async (t) => {
   const response = await request(`${node.callersUrl}/services/payouts/status`, {
     headers: { authorization: `Bearer ${KEY}` },
   });
@@ -251,7 +253,7 @@
   t.is(response.headers['retry-after'], '1');
 });
 
-test('the admin API refuses a wrong key and answers the right one', async (t) => {
+test('the admin API refuses a wrong key and accepts the right one', async (t) => {
   const wrong = await request(`${node.peersUrl}/admin/status`, {
     headers: { authorization: 'Bearer wrong' },
   });
@@ -267,7 +269,7 @@
   t.is(response.statusCode, 401);
 });
 
-test('the directory gives an address, a lifetime and a home', async (t) => {
+test('the directory returns an address, a lifetime and a home token', async (t) => {
   const response = await request(`${node.callersUrl}/v1/endpoints?model=llama:kigali`, {
     headers: { authorization: `Bearer ${KEY}` },
   });
--- a/packages/node/test/key-protocol.test.ts
+++ b/packages/node/test/key-protocol.test.ts
@@ -4,7 +4,7 @@
 import type { Member } from '@canvasridge/membership';
 import { KeyProtocol } from '../src/requests/key-protocol.js';
 
-function protocol(processToken: string): { keys: RequestKeys; protocol: KeyProtocol } {
+function newProtocol(processToken: string): { keys: RequestKeys; protocol: KeyProtocol } {
   const clock = new VirtualClock();
   const keys = new RequestKeys(clock);
   const self: Member = {
@@ -19,7 +19,7 @@
     incarnation: 1,
     state: 'alive',
   };
-  const caller = { call: () => Promise.reject(new Error('no peer is called')) };
+  const caller = { call: () => Promise.reject(new Error('unexpected call to a peer')) };
   const delegated = new RequestKeys(clock);
   return {
     keys,
@@ -31,15 +31,15 @@
   return formatHome({ nodeId: 'node-a', processToken, epoch });
 }
 
-test('a process hands out the keys of its own homes', (t) => {
-  const { keys, protocol: own } = protocol('first');
+test('a process transfers a key whose home token names it to one process only', (t) => {
+  const { keys, protocol } = newProtocol('first');
   const home = homeOf('first', keys.epoch());
-  t.is(own.handleTransfer({ home, key: 'k', process: 'node-b~x' }).transfer, 'granted');
-  t.is(own.handleTransfer({ home, key: 'k', process: 'node-c~y' }).transfer, 'elsewhere');
+  t.is(protocol.handleTransfer({ home, key: 'k', process: 'node-b~x' }).transfer, 'granted');
+  t.is(protocol.handleTransfer({ home, key: 'k', process: 'node-c~y' }).transfer, 'elsewhere');
 });
 
-test('a process restarted at the same address does not hand out the keys of the one before it', (t) => {
-  const { keys, protocol: restarted } = protocol('second');
+test('a process restarted at the same address does not transfer keys of its predecessor', (t) => {
+  const { keys, protocol: restarted } = newProtocol('second');
   const home = homeOf('first', keys.epoch());
   t.is(restarted.handleTransfer({ home, key: 'k', process: 'node-b~x' }).transfer, 'unknown');
 });
