--- a/packages/domain/src/configuration-index.ts
+++ b/packages/domain/src/configuration-index.ts
@@ -9,10 +9,10 @@
 } from './configuration.js';
 import { parseModelName, type AdapterRef, type ModelNameError } from './model-name.js';
 
-/** Why a model name leads to no adapter. */
+/** Why a model name could not be resolved to an adapter. */
 export type ModelLookupError = ModelNameError | { readonly kind: 'unknown-model'; readonly found: string };
 
-/** Look-up tables of one revision. Built once a revision, then only read. */
+/** Lookup tables of one configuration revision. Built once for each revision and not changed afterwards. */
 export class ConfigurationIndex {
   readonly revision: number;
   readonly configuration: Configuration;
@@ -23,8 +23,8 @@
   readonly #callersByKey = new Map<string, CallerDefinition>();
   readonly #callersByName = new Map<string, CallerDefinition>();
   readonly #enginesByBase = new Map<string, EngineDefinition[]>();
-  readonly #leaving: ReadonlySet<string>;
-  readonly #references = new Map<string, AdapterRef>();
+  readonly #leavingMachines: ReadonlySet<string>;
+  readonly #resolvedNames = new Map<string, AdapterRef>();
 
   constructor(revision: number, configuration: Configuration) {
     this.revision = revision;
@@ -32,7 +32,7 @@
     this.tuning = configuration.tuning;
     this.engines = new Map(configuration.engines.map((engine) => [engine.id, engine]));
     this.services = new Map(configuration.services.map((service) => [service.name, service]));
-    this.#leaving = new Set(configuration.leavingMachines);
+    this.#leavingMachines = new Set(configuration.leavingMachines);
     for (const adapter of configuration.adapters)
       this.#adapters.set(`${adapter.base}:${adapter.name}`, adapter);
     for (const caller of configuration.callers) {
@@ -43,10 +43,10 @@
     for (const engine of configuration.engines) this.#enginesByBase.get(engine.base)?.push(engine);
   }
 
-  /** Resolves a model name; a missing version becomes the newest served one. */
+  /** Resolves a model name; without a version, to the newest version served. */
   resolveModel(text: string): Result<AdapterRef, ModelLookupError> {
-    const known = this.#references.get(text);
-    if (known !== undefined) return ok(known);
+    const cached = this.#resolvedNames.get(text);
+    if (cached !== undefined) return ok(cached);
     return parseModelName(text).andThen((ref) => this.#resolve(text, ref));
   }
 
@@ -57,7 +57,7 @@
       return err({ kind: 'unknown-model', found: text.slice(0, 200) });
     }
     const resolved = { ...ref, version };
-    this.#references.set(text, resolved);
+    this.#resolvedNames.set(text, resolved);
     return ok(resolved);
   }
 
@@ -73,13 +73,13 @@
     return this.#callersByName.get(callerName);
   }
 
-  /** Engines of a base model, leaving ones included. */
+  /** Engines of a base model, including those on leaving machines. */
   enginesOf(base: string): readonly EngineDefinition[] {
     return this.#enginesByBase.get(base) ?? [];
   }
 
-  /** Whether the configuration says that a back-end machine is leaving. */
+  /** Whether the configuration lists a back-end machine as leaving. */
   isLeaving(machine: string | undefined): boolean {
-    return machine !== undefined && this.#leaving.has(machine);
+    return machine !== undefined && this.#leavingMachines.has(machine);
   }
 }
--- a/packages/domain/src/configuration.ts
+++ b/packages/domain/src/configuration.ts
@@ -1,8 +1,9 @@
 import * as z from 'zod';
 
 /**
- * The configuration document: what operators want served. Engines, services and nodes are named with
- * their addresses, because nothing else tells them; the machine list says which machines are up.
+ * Schema of the configuration document, in which operators state what is to be served. It contains the
+ * addresses of engines, services and nodes because they are available nowhere else; which machines are up
+ * comes from the machine list.
  */
 const name = z.string().regex(/^[\w.-]{1,64}$/, 'expected 1 to 64 letters, digits, ".", "_" or "-"');
 const url = z.url({ protocol: /^https?$/, error: 'expected a URL such as "http://10.0.0.5:9000"' });
@@ -13,11 +14,11 @@
 const adapterDefinition = z.strictObject({
   name: z.string().regex(/^[\w./-]{1,128}$/, 'expected 1 to 128 letters, digits, ".", "_", "/" or "-"'),
   base: name,
-  /** Served versions, newest last. */
+  /** Versions served, from oldest to newest. */
   versions: z.array(z.string().regex(/^[\w.-]{1,64}$/)).min(1),
-  /** Adapters that tend to wake together, such as the adapters of one match. */
+  /** Groups adapters that tend to be requested at the same time, such as the adapters of one match. */
   group: name.optional(),
-  /** Engines that hold this adapter even while it is idle. */
+  /** Number of engines that keep this adapter loaded even while it is idle. */
   pinnedReplicas: z.int().min(0).max(16).optional(),
 });
 
@@ -29,14 +30,14 @@
   machine: name.optional(),
   slots: z.int().min(1).max(1024),
   maxBatch: z.int().min(1).max(4096),
-  /** Whether the engine refuses orders and requests with an old fence. */
+  /** Whether the engine refuses orders and requests whose fence is lower than the current one. */
   checksFence: z.boolean().default(true),
 });
 
 const serviceDefinition = z.strictObject({
   name,
   backEnds: z.array(z.strictObject({ url, zone: name, machine: name.optional() })).min(1),
-  /** Calls that may run at most once. */
+  /** Calls that may be run at most once; a path also covers all paths below it. */
   notRepeatable: z
     .array(
       z.strictObject({
@@ -54,7 +55,7 @@
   priority: z.enum(['interactive', 'standard', 'batch']).default('standard'),
   requestsPerSecond: z.number().positive(),
   concurrency: z.int().min(1),
-  /** Share among callers when engines are full. */
+  /** Relative share of an engine that the caller gets while requests are queued. */
   weight: z.number().positive().default(1),
   /** Model name prefixes the caller may use; `*` allows all. */
   models: z.array(z.string()).min(1).default(['*']),
@@ -65,17 +66,17 @@
   id: name,
   zone: name,
   region: name.default('region-1'),
-  /** Where callers connect. */
+  /** URL for callers. */
   url,
   /** UDP address of the membership protocol, `IP:port`. */
   gossip: z.string(),
-  /** Where peers send JSON-RPC and forwarded requests. */
+  /** URL for JSON-RPC calls and requests forwarded by peers. */
   peerUrl: url,
   intent: z.enum(['active', 'leaving']).default('active'),
 });
 
 const tuning = z.strictObject({
-  /** 0 prefers full batches, 1 prefers short load stalls. */
+  /** Trade-off in choosing engines: 0 prefers full batches, 1 prefers short waits for adapter loads. */
   stallWeight: z.number().min(0).max(1).default(0.5),
   weightStoreLoadsPerSecond: z.number().positive().default(2),
   weightStoreConcurrency: z.int().min(1).default(2),
@@ -92,7 +93,7 @@
   services: z.array(serviceDefinition).default([]),
   callers: z.array(callerDefinition),
   nodes: z.array(nodeDefinition).default([]),
-  /** Machines of back ends that are leaving: they get no new work. */
+  /** Back-end machines that are being removed and get no new work. */
   leavingMachines: z.array(name).default([]),
   tuning: tuning.prefault({}),
 });
@@ -106,5 +107,5 @@
 export type NodeDefinition = Configuration['nodes'][number];
 export type Tuning = Configuration['tuning'];
 
-/** Tuning where a document sets none. */
+/** Values used where a document does not set tuning. */
 export const DEFAULT_TUNING: Tuning = tuning.parse({});
--- a/packages/domain/src/index.ts
+++ b/packages/domain/src/index.ts
@@ -1,4 +1,7 @@
-/** The vocabulary of the system: model names, configuration, problem documents and ports. */
+/**
+ * Types shared by all packages: model names, configuration, problem documents, and interfaces to other
+ * systems.
+ */
 export {
   parseModelName,
   formatModelName,
--- a/packages/domain/src/model-name.ts
+++ b/packages/domain/src/model-name.ts
@@ -1,13 +1,13 @@
 import { err, ok, type Result } from 'neverthrow';
 
-/** One version of one adapter on its base model. */
+/** A version of an adapter, together with its base model. */
 export interface AdapterRef {
   readonly base: string;
   readonly adapter: string;
   readonly version: string;
 }
 
-/** Why a text is not a model name. */
+/** Error for text that is not a valid model name. */
 export interface ModelNameError {
   readonly kind: 'malformed-model-name';
   readonly found: string;
@@ -17,7 +17,10 @@
 const MODEL_NAME = /^([\w.-]{1,64}):([\w./-]{1,128})(?:@([\w.-]{1,64}))?$/;
 const EXPECTED = '"base:adapter@version" or "base:adapter", of letters, digits, ".", "_", "-"';
 
-/** Splits `base:adapter@version`. Without a version the newest served one is meant: `version` is ''. */
+/**
+ * Parses `base:adapter@version`. If the version is omitted, `version` is empty and means the newest one
+ * served.
+ */
 export function parseModelName(text: string): Result<AdapterRef, ModelNameError> {
   const match = MODEL_NAME.exec(text);
   if (match === null)
@@ -29,7 +32,7 @@
   return `${ref.base}:${ref.adapter}@${ref.version}`;
 }
 
-/** Key of an adapter version among the adapters of one base model. */
+/** Key of an adapter version, unique among the adapters of one base model: `ADAPTER@VERSION`. */
 export function adapterKey(ref: Pick<AdapterRef, 'adapter' | 'version'>): string {
   return `${ref.adapter}@${ref.version}`;
 }
--- a/packages/domain/src/node-status.ts
+++ b/packages/domain/src/node-status.ts
@@ -1,4 +1,4 @@
-/** An engine that a node owns, as `canvasridge status` shows it. */
+/** Status of an engine that a node owns, as shown by `canvasridge status`. */
 export interface OwnedEngineStatus {
   readonly engineId: string;
   readonly running: number;
@@ -8,7 +8,7 @@
   readonly adapters: readonly { readonly key: string; readonly state: string; readonly running: number }[];
 }
 
-/** Answer of `GET /admin/status`. */
+/** Response body of `GET /admin/status`. */
 export interface NodeStatus {
   readonly node: string;
   readonly zone: string;
@@ -16,6 +16,7 @@
   readonly state: string;
   readonly revision: number;
   readonly digest: string;
+  /** A published revision that the node does not apply, and the reason. */
   readonly held: { readonly revision: number; readonly reason: string } | null;
   readonly activeRequests: number;
   readonly completedRequests: number;
@@ -28,10 +29,11 @@
   readonly engines: readonly OwnedEngineStatus[];
 }
 
-/** Answer of `GET /admin/configuration`. */
+/** Response body of `GET /admin/configuration`: the configuration that the node currently applies. */
 export interface ConfigurationInForce {
   readonly revision: number;
   readonly digest: string | null;
+  /** Version of the configuration head in the configuration service. */
   readonly serviceVersion: number;
   readonly configuration: unknown;
 }
--- a/packages/domain/src/ports/configuration-source.ts
+++ b/packages/domain/src/ports/configuration-source.ts
@@ -1,6 +1,6 @@
 import type { ResultAsync } from 'neverthrow';
 
-/** A value with the service's version of its key: 1 at the first publication, one more at each next. */
+/** A value and its version in the service: 1 when first published, incremented by each later publication. */
 export interface SourceValue {
   readonly value: string;
   readonly version: number;
@@ -11,10 +11,12 @@
   | { readonly kind: 'rate-limited' }
   | { readonly kind: 'missing'; readonly key: string };
 
-/** The configuration service: get and watch, nothing else. */
+/** Client of the configuration service, which offers only get and watch. */
 export interface ConfigurationSource {
   get(key: string): ResultAsync<SourceValue, ConfigurationSourceError>;
-  /** Waits until the value's version is above `afterVersion`, or answers the old one after `waitMs`. */
+  /**
+   * Resolves when the value's version is above `afterVersion`, or with the unchanged value after `waitMs`.
+   */
   watch(
     key: string,
     afterVersion: number,
--- a/packages/domain/src/ports/engine-client.ts
+++ b/packages/domain/src/ports/engine-client.ts
@@ -1,7 +1,7 @@
 import type { ResultAsync } from 'neverthrow';
 import type { AdapterRef } from '../model-name.js';
 
-/** A generation to run on an engine. `body` is the caller's JSON, passed through. */
+/** A generation to run on an engine. `body` is the caller's JSON, passed on unchanged. */
 export interface EngineRequest {
   readonly requestId: string;
   readonly path: '/v1/completions' | '/v1/chat/completions';
@@ -9,25 +9,29 @@
   readonly body: Uint8Array;
   readonly priority: number;
   readonly fence: number;
-  /** What becomes of the generation when the caller's connection ends early: cancelled, or kept for a resume. */
+  /** Whether the generation is cancelled or kept for resuming when the connection closes before its end. */
   readonly onDisconnect: 'cancel' | 'keep';
 }
 
-/** Receives an answer while it arrives. Calls come in order: one `start`, then chunks. */
+/** Receives a response as it arrives: one call of `start`, then a `write` for each chunk. */
 export interface StreamSink {
   start(status: number, headers: Readonly<Record<string, string>>): void;
-  /** Returns false when the receiver is full; `waitForDrain` then resolves when it has room. */
+  /**
+   * Returns false when the receiver's buffer is full; `waitForDrain` then resolves when it has room again.
+   */
   write(chunk: Uint8Array): boolean;
   waitForDrain(): Promise<void>;
 }
 
-/** How a generation ended. */
+/** Result of a completed generation. */
 export interface GenerationEnd {
   /** Highest event id that was passed to the sink, or -1. */
   readonly lastEventId: number;
 }
 
-/** Why a call to an engine failed. `executed: 'no'` stands only where the engine cannot have run it. */
+/**
+ * Why a call to an engine failed. `executed: 'no'` means that the engine certainly has not run the request.
+ */
 export type EngineError =
   | { readonly kind: 'unreachable'; readonly executed: 'no'; readonly detail: string }
   | { readonly kind: 'stale-fence'; readonly executed: 'no'; readonly currentFence: number }
@@ -42,7 +46,7 @@
     }
   | { readonly kind: 'cancelled'; readonly executed: 'unknown' };
 
-/** An order to an engine. Each carries the fence of the sender. */
+/** A control command to an engine, sent with the sender's fence. */
 export type EngineOrder =
   | { readonly kind: 'claim'; readonly holder: string; readonly leaseMs: number }
   | { readonly kind: 'renew'; readonly holder: string; readonly leaseMs: number }
@@ -50,7 +54,9 @@
   | { readonly kind: 'unload'; readonly adapter: string; readonly version: string }
   | { readonly kind: 'role'; readonly role: 'serve' | 'drain' };
 
-/** What an engine answers to an order. `incarnation` changes when it restarted empty. */
+/**
+ * An engine's reply to an order. `incarnation` changes when the engine restarts, which unloads all adapters.
+ */
 export type EngineOrderReply =
   | { readonly kind: 'done'; readonly fence: number; readonly incarnation: string }
   | { readonly kind: 'stale-fence'; readonly fence: number; readonly incarnation: string }
@@ -64,36 +70,38 @@
 export interface LoadedAdapter {
   readonly adapter: string;
   readonly version: string;
+  /** Number of requests running on the adapter. */
   readonly running: number;
 }
 
-/** State of an engine at some moment before it was asked: reports lag. */
+/** Snapshot of an engine's state, taken some time before the report was requested. */
 export interface EngineReport {
   readonly engineId: string;
   readonly incarnation: string;
-  /** Age of the snapshot in milliseconds, on the engine's own clock. */
+  /** Age of the snapshot in milliseconds, measured by the engine's clock. */
   readonly snapshotAgeMs: number;
-  /** Fence that was in force at the snapshot. */
+  /** The engine's current fence at the snapshot. */
   readonly fence: number;
+  /** The process that held the engine's lease at the snapshot. */
   readonly holder: string;
   /** Time from the last accepted claim or renewal to the snapshot, in milliseconds. */
   readonly renewedAgoMs: number;
-  /** Rest of the holder's lease at the snapshot, in milliseconds; negative when it has run out. */
+  /** Time left of the holder's lease at the snapshot, in milliseconds; negative if it had expired. */
   readonly leaseLeftMs: number;
   readonly running: number;
   readonly queued: number;
   readonly adapters: readonly LoadedAdapter[];
 }
 
-/** One engine, met through its protocol. */
+/** Client of one engine. */
 export interface EngineClient {
-  /** Runs a generation; the answer goes to `sink`. Aborting `signal` cancels it on the engine. */
+  /** Runs a generation and writes the response to `sink`. Aborting `signal` cancels it on the engine. */
   generate(
     request: EngineRequest,
     sink: StreamSink,
     signal: AbortSignal,
   ): ResultAsync<GenerationEnd, EngineError>;
-  /** Continues a stream after the event with id `afterEventId`; starts no new work. */
+  /** Resumes a stream after the event with id `afterEventId`; starts no new generation. */
   resume(
     requestId: string,
     afterEventId: number,
--- a/packages/domain/src/ports/machine-list.ts
+++ b/packages/domain/src/ports/machine-list.ts
@@ -1,12 +1,12 @@
 import type { ResultAsync } from 'neverthrow';
 
-/** A machine as the platform lists it. */
+/** A machine in the platform's machine list. */
 export interface Machine {
   readonly id: string;
   /** Entry machines run nodes; back-end machines run engines and services. */
   readonly role: 'entry' | 'back-end';
   readonly state: 'live' | 'leaving';
-  /** Membership address of an entry machine, `IP:port`. */
+  /** Address of an entry machine for the membership protocol, `IP:port`. */
   readonly gossip?: string | undefined;
 }
 
@@ -15,7 +15,7 @@
   readonly detail: string;
 }
 
-/** The platform's list of machines. It lags behind reality. */
+/** Client of the platform's machine list, which lags behind the actual state. */
 export interface MachineList {
   list(): ResultAsync<readonly Machine[], MachineListError>;
 }
--- a/packages/domain/src/ports/service-client.ts
+++ b/packages/domain/src/ports/service-client.ts
@@ -1,11 +1,11 @@
 import type { ResultAsync } from 'neverthrow';
 import type { StreamSink } from './engine-client.js';
 
-/** A call to a plain service. */
+/** A call to an HTTP service that is not an engine. */
 export interface ServiceRequest {
   readonly requestId: string;
   readonly method: string;
-  /** Path and query below the service's root. */
+  /** Path and query, relative to the service's root. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
@@ -15,7 +15,7 @@
   readonly status: number;
 }
 
-/** Why a call failed. */
+/** Why a call failed; `started` says whether part of the response has been written to the sink. */
 export type ServiceError =
   | { readonly kind: 'unreachable'; readonly executed: 'no'; readonly detail: string }
   | {
@@ -26,7 +26,7 @@
     }
   | { readonly kind: 'cancelled'; readonly executed: 'unknown'; readonly started: boolean };
 
-/** Back ends of plain services. */
+/** Calls back ends of HTTP services. */
 export interface ServiceClient {
   call(
     backEndUrl: string,
--- a/packages/domain/src/problem.ts
+++ b/packages/domain/src/problem.ts
@@ -1,6 +1,6 @@
 /**
- * Problem documents of RFC 9457. Every refusal carries a stable code and says whether the request
- * was executed: "no" only where that is proved.
+ * Whether a request was executed, as stated in problem documents (RFC 9457): "no" only if it provably was
+ * not. Every refusal has this field and a stable code.
  */
 export type Executed = 'no' | 'unknown';
 
@@ -9,7 +9,7 @@
   readonly title: string;
 }
 
-/** All codes. docs/reference/errors.md has one row for each. */
+/** All problem codes; docs/reference/errors.md has one row for each. */
 export const PROBLEMS = {
   'malformed-request': { status: 400, title: 'The request cannot be read' },
   'malformed-model-name': { status: 400, title: 'The model name cannot be read' },
@@ -46,9 +46,9 @@
 export type ProblemCode = keyof typeof PROBLEMS;
 
 export interface ProblemExtra {
-  /** What was found and what is allowed, for the reader. */
+  /** The value found and the values allowed, as text for people. */
   readonly detail?: string;
-  /** When to come back, in seconds. */
+  /** Time after which the client may retry, in seconds. */
   readonly retryAfterSeconds?: number;
 }
 
@@ -60,7 +60,7 @@
   readonly executed: Executed;
 }
 
-/** Builds the document for `code`. */
+/** Builds the problem document for `code`. */
 export function problem(code: ProblemCode, executed: Executed, extra: ProblemExtra = {}): Problem {
   const definition = PROBLEMS[code];
   return { type: `urn:canvasridge:problem:${code}`, ...definition, code, executed, ...extra };
--- a/packages/domain/test/model-name.test.ts
+++ b/packages/domain/test/model-name.test.ts
@@ -14,7 +14,7 @@
 ];
 
 for (const [text, expected] of names) {
-  test(`model name "${text}" is ${expected ?? 'refused'}`, (t) => {
+  test(`model name "${text}" is parsed as ${expected ?? 'invalid'}`, (t) => {
     t.is(
       parseModelName(text).match(formatModelName, () => undefined),
       expected,
@@ -22,7 +22,7 @@
   });
 }
 
-test('no text makes the parser throw, and what it accepts it writes back', (t) => {
+test('the model name parser never throws, and a parsed name is formatted to text that starts with the input', (t) => {
   fc.assert(
     fc.property(fc.string(), (text) => {
       const parsed = parseModelName(text);
--- a/packages/settings/src/addresses.ts
+++ b/packages/settings/src/addresses.ts
@@ -1,25 +1,25 @@
 import { isIP } from 'node:net';
 import * as z from 'zod';
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 export interface HostPort {
   readonly host: string;
   readonly port: number;
 }
 
-const HIGHEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
-/** Splits `host:port`; IPv6 numbers stand in brackets. Undefined when it is neither. */
+/** Parses `IP:port`, with IPv6 addresses in brackets. Undefined if the text is not valid. */
 export function parseHostPort(text: string): HostPort | undefined {
   const match = /^(?:\[([0-9a-fA-F:]+)\]|([^:[\]]+)):(\d{1,5})$/.exec(text);
   if (match === null) return undefined;
   const host = match[1] ?? match[2] ?? '';
   const port = Number(match[3]);
-  if (isIP(host) === 0 || port > HIGHEST_PORT) return undefined;
+  if (isIP(host) === 0 || port > MAX_PORT) return undefined;
   return { host, port };
 }
 
-/** Schema of `"IP:port"`; port 0 lets the system choose. */
+/** Schema of `"IP:port"`; port 0 lets the operating system choose a port. */
 export const listenAddress = z.string().transform((text, context): HostPort => {
   const parsed = parseHostPort(text);
   if (parsed !== undefined) return parsed;
--- a/packages/settings/src/command-line.ts
+++ b/packages/settings/src/command-line.ts
@@ -1,11 +1,13 @@
 import { parseArgs } from 'node:util';
 
-/** Exit codes of every binary; docs/reference/command-line.md lists them. */
+/** Exit codes of all executables; docs/reference/command-line.md lists them. */
 export const ExitCode = {
   success: 0,
-  /** The command ran and its answer is "no": a promise broken, a plan refused, a node unreachable. */
+  /**
+   * The command ran, but its result is negative: a check failed, a plan was refused, a node is unreachable.
+   */
   failure: 1,
-  /** The command line or a file it names cannot be used. */
+  /** The command line, or a file named in it, is not valid. */
   usage: 2,
 } as const;
 
@@ -18,19 +20,21 @@
   readonly placeholder?: string;
 }
 
-/** What a command is given after its line has been checked. */
+/** Parsed and checked arguments of a command. */
 export interface CommandInput {
   readonly options: Readonly<Record<string, string | boolean | undefined>>;
   readonly positionals: readonly string[];
+  /** Value of a string option, or its default. */
   text(name: string): string | undefined;
   flag(name: string): boolean;
-  /** A number within bounds, or an error naming the option. */
+  /** Value of a numeric option; throws a `UsageError` if it is not a number within the bounds. */
   number(name: string, minimum: number, maximum: number): number;
 }
 
+/** Resolves with the exit code. */
 export type CommandOutcome = Promise<number>;
 
-/** A command of a binary, or the binary itself where it has just one. */
+/** A command of an executable, or the executable itself if it has no commands; the name is then empty. */
 export interface CommandDefinition {
   readonly name: string;
   readonly summary: string;
@@ -40,11 +44,11 @@
   run(input: CommandInput): CommandOutcome;
 }
 
-/** A mistake in the command line; its message names the option and the fix. */
+/** An error in the command line; its message names the option and what it accepts. */
 export class UsageError extends Error {}
 
 /**
- * Runs a binary: answers --help and --version, finds the command, checks its options.
+ * Runs an executable: handles --help and --version, finds the command and parses its options.
  * Returns the exit code; prints usage errors to standard error.
  */
 export async function runCommand(
@@ -53,28 +57,30 @@
   commands: readonly CommandDefinition[],
   argv: readonly string[],
 ): Promise<number> {
-  const single = commands.length === 1 && commands[0]?.name === '' ? commands[0] : undefined;
-  const first = argv[0];
-  if (first === '--version') return print(`${binary} ${version}`);
+  const singleCommand = commands.length === 1 && commands[0]?.name === '' ? commands[0] : undefined;
+  const commandName = argv[0];
+  if (commandName === '--version') return print(`${binary} ${version}`);
   if (
-    single === undefined &&
-    (first === undefined || first === '--help' || first === '-h' || first === 'help')
+    singleCommand === undefined &&
+    (commandName === undefined || commandName === '--help' || commandName === '-h' || commandName === 'help')
   ) {
     print(overview(binary, commands));
-    return first === undefined ? ExitCode.usage : ExitCode.success;
+    return commandName === undefined ? ExitCode.usage : ExitCode.success;
   }
-  const command = single ?? commands.find((candidate) => candidate.name === first);
+  const command = singleCommand ?? commands.find((candidate) => candidate.name === commandName);
   if (command === undefined) {
     const names = commands.map((candidate) => candidate.name).join(', ');
-    return fail(`${binary}: unknown command "${first ?? ''}"; known commands: ${names}`);
+    return printUsageError(`${binary}: unknown command "${commandName ?? ''}"; known commands: ${names}`);
   }
-  const rest = single === undefined ? argv.slice(1) : argv;
+  const rest = singleCommand === undefined ? argv.slice(1) : argv;
   if (rest.includes('--help') || rest.includes('-h')) return print(usage(binary, command));
   try {
     return await command.run(parse(command, rest));
   } catch (cause) {
     if (!(cause instanceof UsageError)) throw cause;
-    return fail(`${binary} ${command.name}: ${cause.message}\nSee "${binary} ${command.name} --help".`);
+    return printUsageError(
+      `${binary} ${command.name}: ${cause.message}\nSee "${binary} ${command.name} --help".`,
+    );
   }
 }
 
@@ -133,7 +139,7 @@
     ...rows,
     '',
     `"${binary} COMMAND --help" explains a command; --version prints the version.`,
-    'Exit codes: 0 done, 1 the answer is no or the work failed, 2 wrong usage or unusable file.',
+    'Exit codes: 0 success, 1 negative result or failure, 2 wrong usage or unusable file.',
   ].join('\n');
 }
 
@@ -154,7 +160,7 @@
     ...rows,
     '  --help\n      print this text',
     '',
-    'Exit codes: 0 done, 1 the answer is no or the work failed, 2 wrong usage or unusable file.',
+    'Exit codes: 0 success, 1 negative result or failure, 2 wrong usage or unusable file.',
   ].join('\n');
 }
 
@@ -163,7 +169,7 @@
   return ExitCode.success;
 }
 
-function fail(text: string): number {
+function printUsageError(text: string): number {
   process.stderr.write(`${text}\n`);
   return ExitCode.usage;
 }
--- a/packages/settings/src/document.ts
+++ b/packages/settings/src/document.ts
@@ -2,23 +2,23 @@
 import { err, ok, type Result } from 'neverthrow';
 import type { z } from 'zod';
 
-/** One value that the schema does not allow. */
+/** A value in a document that does not match the schema. */
 export interface DocumentIssue {
-  /** Path inside the document, such as `engines[2].slots`; `(root)` for the document itself. */
+  /** Path of the value, such as `engines[2].slots`; `(root)` for the whole document. */
   readonly path: string;
   readonly problem: string;
   readonly found: string;
 }
 
-/** Why a settings or configuration file cannot be used. */
+/** Why a settings or configuration file could not be read. */
 export type SettingsError =
   | { readonly kind: 'unreadable'; readonly file: string; readonly reason: string }
   | { readonly kind: 'not-json'; readonly file: string; readonly reason: string }
   | { readonly kind: 'invalid'; readonly file: string; readonly issues: readonly DocumentIssue[] };
 
-const FOUND_LIMIT = 60;
+const MAX_FOUND_LENGTH = 60;
 
-/** Reads a JSON file and checks it against `schema`. */
+/** Reads a JSON file and validates it against `schema`. */
 export async function readJsonFile<T>(file: string, schema: z.ZodType<T>): Promise<Result<T, SettingsError>> {
   let text: string;
   try {
@@ -29,7 +29,7 @@
   return parseDocument(file, text, schema);
 }
 
-/** Checks JSON text; `file` names it in errors. */
+/** Parses and validates JSON text; `file` is its name in errors. */
 export function parseDocument<T>(file: string, text: string, schema: z.ZodType<T>): Result<T, SettingsError> {
   let value: unknown;
   try {
@@ -42,7 +42,7 @@
   return err({ kind: 'invalid', file, issues: describeIssues(value, checked.error) });
 }
 
-/** Path, problem and found value of each violation. */
+/** Converts schema errors to issues with the path, the problem and the value found. */
 export function describeIssues(value: unknown, error: z.ZodError): DocumentIssue[] {
   return error.issues.map((issue) => ({
     path: formatPath(issue.path),
@@ -51,7 +51,9 @@
   }));
 }
 
-/** One line per problem, each naming the file, the path, what was found and what is allowed. */
+/**
+ * Formats an error, with one line per issue that names the file, the path, the value found and the problem.
+ */
 export function formatSettingsError(error: SettingsError): string {
   switch (error.kind) {
     case 'unreadable':
@@ -85,5 +87,5 @@
 function formatFound(value: unknown): string {
   if (value === undefined) return 'nothing';
   const text = JSON.stringify(value);
-  return text.length > FOUND_LIMIT ? `${text.slice(0, FOUND_LIMIT)}…` : text;
+  return text.length > MAX_FOUND_LENGTH ? `${text.slice(0, MAX_FOUND_LENGTH)}…` : text;
 }
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,4 +1,4 @@
-/** Settings files checked by schema, and the frame that all command lines share. */
+/** Validation of settings files by schema, and command-line parsing for all executables. */
 export {
   readJsonFile,
   parseDocument,
--- a/packages/settings/src/settings-command.ts
+++ b/packages/settings/src/settings-command.ts
@@ -2,15 +2,17 @@
 import { ExitCode, UsageError, type CommandDefinition, type CommandInput } from './command-line.js';
 import { formatSettingsError, readJsonFile } from './document.js';
 
-/** A binary that runs on one settings file until it is told to stop. */
+/** An executable that runs with one settings file until it is stopped. */
 export interface SettingsCommand<T> {
   readonly summary: string;
   readonly schema: z.ZodType<T>;
-  /** Runs with checked settings; returns the exit code. `file` names them in errors. */
+  /**
+   * Runs with valid settings; resolves with the exit code. `file` is the settings file, for error messages.
+   */
   readonly run: (settings: T, file: string) => Promise<number>;
 }
 
-/** The command of such a binary: `--settings FILE`, and `--check` to check the file only. */
+/** Command definition of such an executable: `--settings FILE`, and `--check` to only validate the file. */
 export function settingsCommand<T>(command: SettingsCommand<T>): CommandDefinition {
   return {
     name: '',
@@ -36,10 +38,11 @@
   return ExitCode.success;
 }
 
-/** Resolves at SIGTERM or SIGINT. */
+/** Resolves on SIGTERM or SIGINT. */
 export function stopSignal(): Promise<void> {
   return new Promise((resolve) => {
-    // Stays: without a listener a second SIGTERM would end the process in the middle of its planned stop.
+    // Not `once`: without a listener, a second SIGTERM would kill the process in the middle of its graceful
+    // stop.
     process.on('SIGTERM', () => resolve());
     process.once('SIGINT', () => resolve());
   });
--- a/packages/settings/test/command-line.test.ts
+++ b/packages/settings/test/command-line.test.ts
@@ -13,12 +13,12 @@
 
 function run(binary: Binary, argv: readonly string[]): { code: number | null; out: string; error: string } {
   const path = fileURLToPath(new URL(BINARIES[binary], import.meta.url));
-  const ended = spawnSync(process.execPath, [path, ...argv], { encoding: 'utf8' });
-  return { code: ended.status, out: ended.stdout, error: ended.stderr };
+  const result = spawnSync(process.execPath, [path, ...argv], { encoding: 'utf8' });
+  return { code: result.status, out: result.stdout, error: result.stderr };
 }
 
 for (const binary of Object.keys(BINARIES) as Binary[]) {
-  test(`${binary} explains itself and tells its version`, (t) => {
+  test(`${binary} prints its help and its version`, (t) => {
     const help = run(binary, ['--help']);
     t.is(help.code, 0);
     t.true(help.out.includes('Usage:') && help.out.includes('Exit codes'));
@@ -26,7 +26,7 @@
   });
 }
 
-const mistakes: readonly { binary: Binary; argv: readonly string[]; names: string }[] = [
+const usageErrors: readonly { binary: Binary; argv: readonly string[]; names: string }[] = [
   { binary: 'canvasridge-node', argv: [], names: '--settings' },
   { binary: 'canvasridge-node', argv: ['--settings', 'nowhere.json'], names: 'nowhere.json: cannot be read' },
   { binary: 'canvasridge-node', argv: ['--port', '1'], names: '--port' },
@@ -40,10 +40,10 @@
   { binary: 'canvasridge-load', argv: ['scale', '--nodes', 'many'], names: '--nodes: found "many"' },
 ];
 
-for (const { binary, argv, names } of mistakes) {
-  test(`${binary} ${argv.join(' ')} ends with code 2 and names ${names}`, (t) => {
-    const ended = run(binary, argv);
-    t.is(ended.code, 2);
-    t.true(ended.error.includes(names), ended.error);
+for (const { binary, argv, names } of usageErrors) {
+  test(`${binary} ${argv.join(' ')} exits with code 2 and reports ${names}`, (t) => {
+    const result = run(binary, argv);
+    t.is(result.code, 2);
+    t.true(result.error.includes(names), result.error);
   });
 }
--- a/packages/settings/test/document.test.ts
+++ b/packages/settings/test/document.test.ts
@@ -16,9 +16,9 @@
 ];
 
 for (const { name, text, expected } of badDocuments) {
-  test(`an error for ${name} names file, path, what was found and what is allowed`, (t) => {
+  test(`an error for ${name} names the file, the path, the value found and what is allowed`, (t) => {
     const message = parseDocument('s.json', text, schema).match(() => '', formatSettingsError);
-    for (const part of expected) t.true(message.includes(part), `${message} should hold ${part}`);
+    for (const part of expected) t.true(message.includes(part), `${message} should contain ${part}`);
   });
 }
 
@@ -31,7 +31,7 @@
 ];
 
 for (const [text, expected] of addresses) {
-  test(`the address ${text} is read as ${JSON.stringify(expected) ?? 'nothing'}`, (t) => {
+  test(`the address ${text} is parsed as ${JSON.stringify(expected) ?? 'invalid'}`, (t) => {
     t.deepEqual(parseHostPort(text), expected);
   });
 }
