--- a/packages/cli/src/admin-client.ts
+++ b/packages/cli/src/admin-client.ts
@@ -1,7 +1,7 @@
 import { err, ok, type Result } from 'neverthrow';
 import { request } from 'undici';
 
-/** Why a node gave no answer to an operator. */
+/** Why a call to the admin API failed. */
 export type AdminError =
   | { readonly kind: 'unreachable'; readonly url: string; readonly reason: string }
   | { readonly kind: 'refused'; readonly url: string; readonly status: number; readonly detail: string };
@@ -13,13 +13,13 @@
   readonly url: string;
   readonly #key: string;
 
-  /** @param url peers' URL of the node, such as `http://10.0.0.1:8081` */
+  /** @param url the node's URL for peers, such as `http://10.0.0.1:8081` */
   constructor(url: string, key: string) {
     this.url = url.replace(/\/$/, '');
     this.#key = key;
   }
 
-  /** The same key at another node. */
+  /** Returns a client for another node, with the same key. */
   at(url: string): AdminClient {
     return new AdminClient(url, this.#key);
   }
--- a/packages/cli/src/chrome-trace.ts
+++ b/packages/cli/src/chrome-trace.ts
@@ -1,6 +1,6 @@
 import type { TimelineDump } from '@canvasridge/telemetry';
 
-/** An event of the Trace Event Format that Chrome and Perfetto read. Times are microseconds. */
+/** An event in the Trace Event Format, which Chrome and Perfetto read. Times are in microseconds. */
 interface TraceEvent {
   readonly name: string;
   readonly ph: 'X' | 'i' | 'M';
@@ -12,9 +12,9 @@
   readonly args: Readonly<Record<string, string>>;
 }
 
-const MICROSECONDS = 1000;
+const MICROSECONDS_PER_MS = 1000;
 
-/** One process of the trace for each process of the system. */
+/** Converts event dumps to a trace in which each dump is a process. */
 export function toChromeTrace(dumps: readonly TimelineDump[]): {
   readonly traceEvents: readonly TraceEvent[];
 } {
@@ -39,9 +39,9 @@
     name: event.name,
     pid,
     tid: 1,
-    ts: event.atMs * MICROSECONDS,
+    ts: event.atMs * MICROSECONDS_PER_MS,
     args: { requestId, subject, detail },
   };
   if (event.durationMs === undefined) return { ...common, ph: 'i', s: 'p' };
-  return { ...common, ph: 'X', dur: event.durationMs * MICROSECONDS };
+  return { ...common, ph: 'X', dur: event.durationMs * MICROSECONDS_PER_MS };
 }
--- a/packages/cli/src/commands/confirm.ts
+++ b/packages/cli/src/commands/confirm.ts
@@ -3,7 +3,15 @@
 import { publishable, type Publishable } from '@canvasridge/configuration';
 import { ExitCode, UsageError, type CommandDefinition } from '@canvasridge/settings';
 import { planAgainstFleet } from './plan.js';
-import { NODE_OPTIONS, adminClient, complain, failed, fileArgument, readIntent, say } from './shared.js';
+import {
+  NODE_OPTIONS,
+  adminClient,
+  printError,
+  reportAdminError,
+  fileArgument,
+  readConfigurationFile,
+  printLine,
+} from './shared.js';
 
 export const confirmCommand: CommandDefinition = {
   name: 'confirm',
@@ -26,17 +34,19 @@
     },
   },
   run: async (input) => {
-    const intent = await readIntent(fileArgument(input));
+    const intent = await readConfigurationFile(fileArgument(input));
     if (intent === undefined) return ExitCode.usage;
     const digest = input.text('plan-digest');
     if (digest === undefined)
-      throw new UsageError('--plan-digest is missing: run "canvasridge plan FILE" and read it');
+      throw new UsageError(
+        '--plan-digest is missing: run "canvasridge plan FILE", check the plan and pass the digest that it prints',
+      );
     const planned = await planAgainstFleet(adminClient(input), intent);
-    if (planned.isErr()) return failed(planned.error);
+    if (planned.isErr()) return reportAdminError(planned.error);
     const { plan, inForce, disagreeing } = planned.value;
-    const refusal = refuse(plan.digest, digest, plan.problems.length, disagreeing);
+    const refusal = refusalReason(plan.digest, digest, plan.problems.length, disagreeing);
     if (refusal !== undefined) {
-      complain(refusal);
+      printError(refusal);
       return ExitCode.failure;
     }
     const serviceVersion =
@@ -44,12 +54,13 @@
         ? inForce.serviceVersion
         : input.number('service-version', 0, Number.MAX_SAFE_INTEGER);
     const previous = { revision: inForce.revision, digest: inForce.digest ?? '0'.repeat(64) };
-    await write(publishable(intent, previous, serviceVersion), input.text('output'));
+    await writeDocuments(publishable(intent, previous, serviceVersion), input.text('output'));
     return ExitCode.success;
   },
 };
 
-function refuse(
+/** Why the plan may not be confirmed; undefined if it may. */
+function refusalReason(
   found: string,
   confirmed: string,
   problems: number,
@@ -65,9 +76,9 @@
   return undefined;
 }
 
-async function write(published: Publishable, folder: string | undefined): Promise<void> {
+async function writeDocuments(published: Publishable, folder: string | undefined): Promise<void> {
   if (folder === undefined) {
-    say(JSON.stringify(published.documents));
+    printLine(JSON.stringify(published.documents));
     return;
   }
   await mkdir(folder, { recursive: true });
@@ -77,7 +88,7 @@
       `${String(index + 1).padStart(4, '0')}-${document.key.replaceAll('/', '_')}.json`,
     );
     await writeFile(file, document.value);
-    say(`${file}\n  publish as ${document.key}`);
+    printLine(`${file}\n  publish as ${document.key}`);
   }
-  say(`revision ${published.head.revision}: publish in this order; the head comes last`);
+  printLine(`revision ${published.head.revision}: publish in this order; the head comes last`);
 }
--- a/packages/cli/src/commands/drain.ts
+++ b/packages/cli/src/commands/drain.ts
@@ -1,5 +1,5 @@
 import { ExitCode, type CommandDefinition } from '@canvasridge/settings';
-import { NODE_OPTIONS, adminClient, failed, say } from './shared.js';
+import { NODE_OPTIONS, adminClient, reportAdminError, printLine } from './shared.js';
 
 export const drainCommand: CommandDefinition = {
   name: 'drain',
@@ -9,8 +9,8 @@
   run: async (input) => {
     const client = adminClient(input);
     const answer = await client.post('/drain', {});
-    if (answer.isErr()) return failed(answer.error);
-    say(
+    if (answer.isErr()) return reportAdminError(answer.error);
+    printLine(
       `${client.url}: draining; stop its process with SIGTERM when "canvasridge status" shows no active requests`,
     );
     return ExitCode.success;
--- a/packages/cli/src/commands/plan.ts
+++ b/packages/cli/src/commands/plan.ts
@@ -3,8 +3,16 @@
 import { ExitCode, type CommandDefinition } from '@canvasridge/settings';
 import { err, ok, type Result } from 'neverthrow';
 import type { AdminClient, AdminError } from '../admin-client.js';
-import { askFleet } from '../fleet-status.js';
-import { NODE_OPTIONS, adminClient, complain, failed, fileArgument, readIntent, say } from './shared.js';
+import { fetchFleetStatus } from '../fleet-status.js';
+import {
+  NODE_OPTIONS,
+  adminClient,
+  printError,
+  reportAdminError,
+  fileArgument,
+  readConfigurationFile,
+  printLine,
+} from './shared.js';
 
 export const planCommand: CommandDefinition = {
   name: 'plan',
@@ -14,34 +22,34 @@
   maximumPositionals: 1,
   options: { ...NODE_OPTIONS, json: { type: 'boolean', help: 'print the whole plan as JSON' } },
   run: async (input) => {
-    const intent = await readIntent(fileArgument(input));
+    const intent = await readConfigurationFile(fileArgument(input));
     if (intent === undefined) return ExitCode.usage;
     const planned = await planAgainstFleet(adminClient(input), intent);
-    if (planned.isErr()) return failed(planned.error);
+    if (planned.isErr()) return reportAdminError(planned.error);
     const { plan, disagreeing } = planned.value;
-    say(input.flag('json') ? JSON.stringify(plan) : formatPlan(plan));
+    printLine(input.flag('json') ? JSON.stringify(plan) : formatPlan(plan));
     for (const node of disagreeing)
-      complain(`${node} has another revision in force; plan again when it has caught up`);
+      printError(`${node} has another revision in force; plan again when it has caught up`);
     return plan.problems.length === 0 && disagreeing.length === 0 ? ExitCode.success : ExitCode.failure;
   },
 };
 
-/** A plan from one snapshot of all nodes. */
+/** A plan, computed from the status that all nodes reported at one time. */
 export interface PlannedChange {
   readonly plan: Plan;
   readonly inForce: ConfigurationInForce;
-  /** Nodes with another revision in force than the one planned against. */
+  /** Nodes that apply another revision than the one planned against. */
   readonly disagreeing: readonly string[];
 }
 
-/** Reads what is in force and what engines hold, then works out the plan here. */
+/** Gets the current configuration and the loaded adapters from the nodes, then computes the plan locally. */
 export async function planAgainstFleet(
   client: AdminClient,
   intent: Configuration,
 ): Promise<Result<PlannedChange, AdminError>> {
   const inForce = await client.get<ConfigurationInForce>('/configuration');
   if (inForce.isErr()) return err(inForce.error);
-  const answers = await askFleet(client);
+  const answers = await fetchFleetStatus(client);
   if (answers.isErr()) return err(answers.error);
   const statuses = answers.value.flatMap((answer) => (answer.status.isOk() ? [answer.status.value] : []));
   const fleet: FleetView = {
--- a/packages/cli/src/commands/shared.ts
+++ b/packages/cli/src/commands/shared.ts
@@ -9,13 +9,13 @@
 } from '@canvasridge/settings';
 import { AdminClient, formatAdminError, type AdminError } from '../admin-client.js';
 
-/** Options of every command that asks nodes. */
+/** Options of every command that contacts nodes. */
 export const NODE_OPTIONS = {
   node: { type: 'string', help: "peers' URL of any node; CANVASRIDGE_NODE otherwise", placeholder: 'URL' },
   'admin-key': { type: 'string', help: 'admin key; CANVASRIDGE_ADMIN_KEY otherwise', placeholder: 'KEY' },
 } as const satisfies Record<string, OptionDefinition>;
 
-/** The node and key that a command was given, from options or environment. */
+/** Client for the node and key given in the options or environment variables. */
 export function adminClient(input: CommandInput): AdminClient {
   const url = input.text('node') ?? process.env.CANVASRIDGE_NODE;
   const key = input.text('admin-key') ?? process.env.CANVASRIDGE_ADMIN_KEY;
@@ -27,30 +27,30 @@
   return new AdminClient(url, key);
 }
 
-/** The one file that a command is given. */
+/** The file argument of a command. */
 export function fileArgument(input: CommandInput): string {
   const [file] = input.positionals;
   if (file === undefined) throw new UsageError('FILE is missing: give the path of a configuration document');
   return file;
 }
 
-/** Reads an intent; prints what is wrong with it and returns undefined when it cannot be used. */
-export async function readIntent(file: string): Promise<Configuration | undefined> {
+/** Reads a configuration document. Prints the errors and returns undefined if it is not valid. */
+export async function readConfigurationFile(file: string): Promise<Configuration | undefined> {
   const document = await readJsonFile(file, configurationSchema);
   if (document.isOk()) return document.value;
-  complain(formatSettingsError(document.error));
+  printError(formatSettingsError(document.error));
   return undefined;
 }
 
-export function say(text: string): void {
+export function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
-export function complain(text: string): void {
+export function printError(text: string): void {
   process.stderr.write(`${text}\n`);
 }
 
-export function failed(error: AdminError): number {
-  complain(formatAdminError(error));
+export function reportAdminError(error: AdminError): number {
+  printError(formatAdminError(error));
   return ExitCode.failure;
 }
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -1,8 +1,8 @@
 import { ExitCode, type CommandDefinition } from '@canvasridge/settings';
 import { formatAdminError } from '../admin-client.js';
-import { askFleet, type NodeAnswer } from '../fleet-status.js';
+import { fetchFleetStatus, type NodeStatusResult } from '../fleet-status.js';
 import type { NodeStatus } from '@canvasridge/domain';
-import { NODE_OPTIONS, adminClient, complain, failed, say } from './shared.js';
+import { NODE_OPTIONS, adminClient, printError, reportAdminError, printLine } from './shared.js';
 
 export const statusCommand: CommandDefinition = {
   name: 'status',
@@ -10,31 +10,32 @@
   options: { ...NODE_OPTIONS, json: { type: 'boolean', help: 'print one JSON document' } },
   run: async (input) => {
     const client = adminClient(input);
-    const answers = await askFleet(client);
-    if (answers.isErr()) return failed(answers.error);
-    if (input.flag('json')) say(JSON.stringify(answers.value.map(toDocument)));
-    else print(answers.value);
+    const answers = await fetchFleetStatus(client);
+    if (answers.isErr()) return reportAdminError(answers.error);
+    if (input.flag('json')) printLine(JSON.stringify(answers.value.map(toDocument)));
+    else printTables(answers.value);
     return answers.value.every((answer) => answer.status.isOk()) ? ExitCode.success : ExitCode.failure;
   },
 };
 
-function toDocument(answer: NodeAnswer): unknown {
+function toDocument(answer: NodeStatusResult): unknown {
   return answer.status.match(
     (status) => status,
     (error) => ({ node: answer.id, error }),
   );
 }
 
-function print(answers: readonly NodeAnswer[]): void {
+function printTables(answers: readonly NodeStatusResult[]): void {
   const reached = answers.flatMap((answer) => (answer.status.isOk() ? [answer.status.value] : []));
-  say('NODE              ZONE          STATE      REVISION  ACTIVE  COMPLETED  ENGINES');
-  for (const status of reached) say(nodeRow(status));
-  for (const answer of answers) if (answer.status.isErr()) complain(formatAdminError(answer.status.error));
+  printLine('NODE              ZONE          STATE      REVISION  ACTIVE  COMPLETED  ENGINES');
+  for (const status of reached) printLine(nodeRow(status));
+  for (const answer of answers) if (answer.status.isErr()) printError(formatAdminError(answer.status.error));
   const held = reached.find((status) => status.held !== null)?.held;
-  if (held != null) complain(`revision ${held.revision} is published but held back: ${held.reason}`);
-  say('');
-  say('ENGINE            OWNER             RUNNING   QUEUED  SLOTS  ADAPTERS');
-  for (const status of reached) for (const engine of status.engines) say(engineRow(status.node, engine));
+  if (held != null) printError(`revision ${held.revision} is published but held back: ${held.reason}`);
+  printLine('');
+  printLine('ENGINE            OWNER             RUNNING   QUEUED  SLOTS  ADAPTERS');
+  for (const status of reached)
+    for (const engine of status.engines) printLine(engineRow(status.node, engine));
 }
 
 function nodeRow(status: NodeStatus): string {
@@ -50,12 +51,13 @@
   return columns.join(' ');
 }
 
-const ADAPTERS_SHOWN = 3;
+const MAX_ADAPTERS_SHOWN = 3;
 
 function engineRow(owner: string, engine: NodeStatus['engines'][number]): string {
-  const busiest = [...engine.adapters].sort((a, b) => b.running - a.running).slice(0, ADAPTERS_SHOWN);
+  const busiest = [...engine.adapters].sort((a, b) => b.running - a.running).slice(0, MAX_ADAPTERS_SHOWN);
   const names = busiest.map((adapter) => `${adapter.key}(${adapter.running})`).join(' ');
-  const more = engine.adapters.length > ADAPTERS_SHOWN ? ` +${engine.adapters.length - ADAPTERS_SHOWN}` : '';
+  const more =
+    engine.adapters.length > MAX_ADAPTERS_SHOWN ? ` +${engine.adapters.length - MAX_ADAPTERS_SHOWN}` : '';
   const columns = [
     engine.engineId.padEnd(17),
     owner.padEnd(17),
--- a/packages/cli/src/commands/timeline.ts
+++ b/packages/cli/src/commands/timeline.ts
@@ -3,9 +3,9 @@
 import type { TimelineDump } from '@canvasridge/telemetry';
 import { formatAdminError } from '../admin-client.js';
 import { toChromeTrace } from '../chrome-trace.js';
-import { askFleet } from '../fleet-status.js';
+import { fetchFleetStatus } from '../fleet-status.js';
 import { renderTimeline } from '../timeline-picture.js';
-import { NODE_OPTIONS, adminClient, complain, failed, say } from './shared.js';
+import { NODE_OPTIONS, adminClient, printError, reportAdminError, printLine } from './shared.js';
 
 export const timelineCommand: CommandDefinition = {
   name: 'timeline',
@@ -22,25 +22,25 @@
     if (html === undefined && trace === undefined)
       throw new UsageError('give --html FILE or --trace FILE, or both');
     const client = adminClient(input);
-    const answers = await askFleet(client);
-    if (answers.isErr()) return failed(answers.error);
+    const answers = await fetchFleetStatus(client);
+    if (answers.isErr()) return reportAdminError(answers.error);
     const dumps: TimelineDump[] = [];
     const first = answers.value.find((answer) => answer.status.isOk())?.status;
     const members = first?.isOk() === true ? first.value.members : [];
     for (const member of members) {
       const dump = await client.at(member.peerUrl).get<TimelineDump>('/timeline');
-      if (dump.isOk()) dumps.push(onlyRequest(dump.value, input.text('request')));
-      else complain(formatAdminError(dump.error));
+      if (dump.isOk()) dumps.push(filterByRequest(dump.value, input.text('request')));
+      else printError(formatAdminError(dump.error));
     }
     if (html !== undefined) await writeFile(html, renderTimeline(dumps));
     if (trace !== undefined) await writeFile(trace, JSON.stringify(toChromeTrace(dumps)));
     const events = dumps.reduce((sum, dump) => sum + dump.events.length, 0);
-    say(`${events} events of ${dumps.length} processes`);
+    printLine(`${events} events of ${dumps.length} processes`);
     return ExitCode.success;
   },
 };
 
-function onlyRequest(dump: TimelineDump, prefix: string | undefined): TimelineDump {
+function filterByRequest(dump: TimelineDump, prefix: string | undefined): TimelineDump {
   if (prefix === undefined) return dump;
   return { ...dump, events: dump.events.filter((event) => event.requestId?.startsWith(prefix) === true) };
 }
--- a/packages/cli/src/fleet-status.ts
+++ b/packages/cli/src/fleet-status.ts
@@ -2,14 +2,14 @@
 import type { AdminClient, AdminError } from './admin-client.js';
 import { err, ok, type Result } from 'neverthrow';
 
-/** Status of one node, or why it gave none. */
-export interface NodeAnswer {
+/** Status of one node, or the error of asking for it. */
+export interface NodeStatusResult {
   readonly id: string;
   readonly status: Result<NodeStatus, AdminError>;
 }
 
-/** Asks one node for its members, then all of them at once. */
-export async function askFleet(client: AdminClient): Promise<Result<NodeAnswer[], AdminError>> {
+/** Gets the status of one node, then of all other members that it lists, concurrently. */
+export async function fetchFleetStatus(client: AdminClient): Promise<Result<NodeStatusResult[], AdminError>> {
   const first = await client.get<NodeStatus>('/status');
   if (first.isErr()) return err(first.error);
   const others = first.value.members.filter((member) => member.id !== first.value.node);
@@ -19,6 +19,6 @@
       status: await client.at(member.peerUrl).get<NodeStatus>('/status'),
     })),
   );
-  const own: NodeAnswer = { id: first.value.node, status: ok(first.value) };
+  const own: NodeStatusResult = { id: first.value.node, status: ok(first.value) };
   return ok([own, ...answers].sort((a, b) => (a.id < b.id ? -1 : 1)));
 }
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,2 +1,2 @@
-/** Parts of the operators' command line that other tools use. */
+/** Parts of the operator command line that other packages use. */
 export { renderTimeline } from './timeline-picture.js';
--- a/packages/cli/src/timeline-picture.ts
+++ b/packages/cli/src/timeline-picture.ts
@@ -1,8 +1,8 @@
 import type { TimelineDump } from '@canvasridge/telemetry';
 
 /**
- * One self-contained HTML page with a lane for each process: wheel zooms, drag moves, the field filters
- * by request id, subject or event name.
+ * Renders event dumps as a self-contained HTML page with a lane for each process. The mouse wheel zooms,
+ * dragging moves the time range, and the input field filters by request id, subject or event name.
  */
 export function renderTimeline(dumps: readonly TimelineDump[]): string {
   const data = JSON.stringify(dumps).replaceAll('<', '\\u003c');
