--- a/packages/domain/src/configuration.ts
+++ b/packages/domain/src/configuration.ts
@@ -30,7 +30,9 @@
   machine: name.optional(),
   slots: z.int().min(1).max(1024),
   maxBatch: z.int().min(1).max(4096),
-  /** Whether the engine refuses orders and requests whose fence is lower than the current one. */
+  /**
+   * Whether the engine refuses orders and requests whose fence (fencing token) is lower than its current one.
+   */
   checksFence: z.boolean().default(true),
 });
 
--- a/packages/domain/src/ports/engine-client.ts
+++ b/packages/domain/src/ports/engine-client.ts
@@ -8,6 +8,10 @@
   readonly model: AdapterRef;
   readonly body: Uint8Array;
   readonly priority: number;
+  /**
+   * Fencing token of the sender's claim on the engine. An engine that checks fences refuses requests and
+   * orders with a lower token than that of the latest claim.
+   */
   readonly fence: number;
   /** Whether the generation is cancelled or kept for resuming when the connection closes before its end. */
   readonly onDisconnect: 'cancel' | 'keep';
--- a/packages/node/src/control/engine-fleet.ts
+++ b/packages/node/src/control/engine-fleet.ts
@@ -13,7 +13,7 @@
 } from '@canvasridge/placement';
 import type { Telemetry } from '@canvasridge/telemetry';
 import { EngineScheduler } from '../scheduling/engine-scheduler.js';
-import { FleetView, engineRecordKey, acceptsRequests, type EngineRecord } from './fleet-view.js';
+import { RemoteEngines, engineRecordKey, acceptsRequests, type EngineRecord } from './remote-engines.js';
 
 export interface EngineFleetOptions {
   readonly clock: Clock;
@@ -49,7 +49,7 @@
 /** All engines as known to this node: schedulers for those it owns, and published records of the others. */
 export class EngineFleet {
   readonly #options: EngineFleetOptions;
-  readonly #view = new FleetView();
+  readonly #remoteEngines = new RemoteEngines();
   readonly #schedulers = new Map<string, EngineScheduler>();
   readonly #clients = new Map<string, { readonly url: string; readonly client: EngineClient }>();
   readonly #publishedRecords = new Map<string, string>();
@@ -65,15 +65,15 @@
     this.#options = options;
   }
 
-  get view(): FleetView {
-    return this.#view;
+  get view(): RemoteEngines {
+    return this.#remoteEngines;
   }
 
   /**
    * Sets the ownership manager. Not a constructor option because the manager and the fleet refer to each
    * other.
    */
-  bind(ownership: OwnershipManager): void {
+  setOwnershipManager(ownership: OwnershipManager): void {
     this.#ownership = ownership;
   }
 
@@ -159,12 +159,13 @@
   /** The member that owns an engine, if it is known and accepts requests. */
   ownerOf(engineId: string): Member | undefined {
     if (this.schedulerOf(engineId) !== undefined) return this.#options.self();
-    const ownerId = this.#view.ownerOf(engineId);
+    const ownerId = this.#remoteEngines.ownerOf(engineId);
     if (ownerId === undefined || ownerId === this.#options.self().id) return undefined;
     const member = this.#options.member(ownerId);
     return acceptsRequests(member) ? member : undefined;
   }
 
+  /** Adds the duration of a completed generation to the moving average. */
   observeServiceTime(seconds: number): void {
     this.#serviceSeconds += SMOOTHING_FACTOR * (seconds - this.#serviceSeconds);
   }
@@ -192,7 +193,7 @@
     const scheduler = this.schedulerOf(engine.id);
     if (scheduler === undefined) {
       if (this.ownerOf(engine.id) === undefined) return undefined;
-      return this.#view.routeCandidate(engine, key, rank, sameZone, this.#options.clock.now());
+      return this.#remoteEngines.routeCandidate(engine, key, rank, sameZone, this.#options.clock.now());
     }
     return {
       engineId: engine.id,
@@ -238,7 +239,8 @@
     return others.some(
       (other) =>
         other.id !== engine.id &&
-        (this.schedulerOf(other.id)?.adapterState(key) === 'loaded' || this.#view.holds(other.id, key)),
+        (this.schedulerOf(other.id)?.adapterState(key) === 'loaded' ||
+          this.#remoteEngines.holds(other.id, key)),
     );
   }
 
--- a/packages/node/src/control/fleet-view.ts
+++ b/packages/node/src/control/remote-engines.ts
@@ -39,7 +39,7 @@
 /**
  * State of the engines that other nodes own, as published by them. It lags and is only a hint for routing.
  */
-export class FleetView {
+export class RemoteEngines {
   readonly #engines = new Map<string, RemoteEngine>();
   readonly #expectedLoads = new Map<string, ExpectedLoad>();
   readonly #forwardedInFlight = new Map<string, number>();
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -99,7 +99,7 @@
     this.#grants = this.#newGrants();
     this.fleet = this.#newFleet();
     this.ownership = this.#newOwnership();
-    this.fleet.bind(this.ownership);
+    this.fleet.setOwnershipManager(this.ownership);
     const self = (): Member => this.membership.self();
     const member = (id: string): Member | undefined => this.membership.get(id);
     const present = (): readonly Member[] => this.membership.present();
--- a/packages/node/src/requests/key-protocol.ts
+++ b/packages/node/src/requests/key-protocol.ts
@@ -172,14 +172,17 @@
   }
 }
 
+/** Whether a home token names this process, not an earlier one of the same node. */
 function isOwnHome(home: HomeToken, self: Member): boolean {
   return home.nodeId === self.id && home.processToken === self.processToken;
 }
 
+/** Identifies a node process: `NODE~PROCESS_TOKEN`. */
 function processName(member: Member): string {
   return `${member.id}~${member.processToken}`;
 }
 
+/** Under which a process stores a key that was transferred to it from another home. */
 function delegatedKey(home: string, key: string): string {
   return `${home}|${key}`;
 }
--- a/packages/node/src/scheduling/adapter-loader.ts
+++ b/packages/node/src/scheduling/adapter-loader.ts
@@ -82,8 +82,7 @@
       await this.#clock.sleep(IDLE_CHECK_MS);
       return;
     }
-    // In this state no request is sent to the slot, so it stays idle until the engine has unloaded the
-    // adapter.
+    // No request is sent to a slot in this state, so it stays idle until the engine has unloaded the adapter.
     slot.state = 'unloading';
     const order = { kind: 'unload', adapter: slot.adapter, version: slot.version } as const;
     const answer = await client.order(ownership.fence, order);
@@ -92,8 +91,7 @@
       slots.remove(slot, this.#clock.now());
       return;
     }
-    // The order may have arrived or may still arrive; only a higher fence rules out that it takes effect
-    // later.
+    // The order may still reach the engine; only a claim under a higher fence rules out that it takes effect.
     ownership.abandon('unload order was not confirmed by the engine');
   }
 
@@ -141,6 +139,7 @@
     return false;
   }
 
+  /** An idle slot to unload: a drained one, or else the least valuable one that no queued request needs. */
   #chooseVictim(): Slot | undefined {
     const idle = this.#options.slots.all().filter(isIdle);
     const drained = idle.find((slot) => slot.draining);
--- a/packages/node/src/scheduling/engine-scheduler.ts
+++ b/packages/node/src/scheduling/engine-scheduler.ts
@@ -22,15 +22,17 @@
 /** Requests sent beyond the batch size, so that the engine always has the next one at hand. */
 const PIPELINE_MARGIN = 2;
 
+/** Resolution of a request's wait in the queue. */
 interface WaitEnd {
   readonly outcome: WaitOutcome;
   readonly ticket: Ticket;
 }
 
 /**
- * Schedules all work for one engine that this node owns: queues requests by adapter, keeps the engine's
- * batch full, and loads and unloads adapters. Only the owner sends requests to an engine, so the in-flight
- * counts kept here are exact and an adapter that is serving a request is never unloaded.
+ * Schedules all work for one engine that this node owns: queues requests by adapter, keeps the engine's batch
+ * full, and loads and unloads adapters. Only the owner sends requests to an engine, so the owner itself
+ * counts what is in flight (apart from `UntrackedWork`) and never unloads an adapter that is serving a
+ * request.
  */
 export class EngineScheduler {
   readonly engine: EngineDefinition;
@@ -65,10 +67,12 @@
     });
   }
 
+  /** Number of requests sent to the engine and not yet ended. */
   get inFlight(): number {
     return this.#inFlight;
   }
 
+  /** Number of requests waiting in the queue. */
   get queued(): number {
     return this.#queue.length;
   }
--- a/packages/settings/src/command-line.ts
+++ b/packages/settings/src/command-line.ts
@@ -32,7 +32,7 @@
 }
 
 /** Resolves with the exit code. */
-export type CommandOutcome = Promise<number>;
+export type ExitCodePromise = Promise<number>;
 
 /** A command of an executable, or the executable itself if it has no commands; the name is then empty. */
 export interface CommandDefinition {
@@ -41,7 +41,7 @@
   readonly positionals?: string;
   readonly maximumPositionals?: number;
   readonly options: Readonly<Record<string, OptionDefinition>>;
-  run(input: CommandInput): CommandOutcome;
+  run(input: CommandInput): ExitCodePromise;
 }
 
 /** An error in the command line; its message names the option and what it accepts. */
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -12,7 +12,7 @@
   UsageError,
   type CommandInput,
   type CommandDefinition,
-  type CommandOutcome,
+  type ExitCodePromise,
   type OptionDefinition,
 } from './command-line.js';
 export { listenAddress, type ListenAddress, parseHostPort, type HostPort } from './addresses.js';
