--- a/packages/node/src/main.ts
+++ b/packages/node/src/main.ts
@@ -5,7 +5,7 @@
 const VERSION = '0.1.0';
 
 const serve = settingsCommand({
-  summary: 'Runs an entry node. SIGTERM or SIGINT stops it as planned: running requests are answered first.',
+  summary: 'Runs an entry node. SIGTERM or SIGINT stops it gracefully: running requests are answered first.',
   schema: nodeSettingsSchema,
   run: runNode,
 });
--- a/packages/node/src/process.ts
+++ b/packages/node/src/process.ts
@@ -27,7 +27,7 @@
   readonly reason: string;
 }
 
-/** Length of the random token that tells a node's process from earlier ones with the same node id. */
+/** Length of the random token that distinguishes a node's process from earlier ones with the same node id. */
 const PROCESS_TOKEN_BYTES = 6;
 
 /** A running node with its listening sockets. */
