--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,4 +1,4 @@
-/** Settings files checked by schema, and the frame that all command lines share. */
+/** Validation of settings files by schema, and command-line parsing for all executables. */
 export {
   readJsonFile,
   parseDocument,
@@ -12,7 +12,7 @@
   UsageError,
   type CommandInput,
   type CommandDefinition,
-  type CommandOutcome,
+  type ExitCodePromise,
   type OptionDefinition,
 } from './command-line.js';
 export { listenAddress, type ListenAddress, parseHostPort, type HostPort } from './addresses.js';
