--- a/packages/cli/src/commands/confirm.ts
+++ b/packages/cli/src/commands/confirm.ts
@@ -1,6 +1,6 @@
 import { mkdir, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
-import { publishable, type Publishable } from '@canvasridge/configuration';
+import { buildPublication, type Publication } from '@canvasridge/configuration';
 import { ExitCode, UsageError, type CommandDefinition } from '@canvasridge/settings';
 import { planAgainstFleet } from './plan.js';
 import {
@@ -54,7 +54,7 @@
         ? inForce.serviceVersion
         : input.number('service-version', 0, Number.MAX_SAFE_INTEGER);
     const previous = { revision: inForce.revision, digest: inForce.digest ?? '0'.repeat(64) };
-    await writeDocuments(publishable(intent, previous, serviceVersion), input.text('output'));
+    await writeDocuments(buildPublication(intent, previous, serviceVersion), input.text('output'));
     return ExitCode.success;
   },
 };
@@ -76,7 +76,7 @@
   return undefined;
 }
 
-async function writeDocuments(published: Publishable, folder: string | undefined): Promise<void> {
+async function writeDocuments(published: Publication, folder: string | undefined): Promise<void> {
   if (folder === undefined) {
     printLine(JSON.stringify(published.documents));
     return;
--- a/packages/configuration/src/configuration-follower.ts
+++ b/packages/configuration/src/configuration-follower.ts
@@ -77,7 +77,7 @@
   /**
    * Handles the revision stamp announced by a peer: fetches the revision from that peer if it may be newer.
    */
-  async heardOf(peerId: string, stamp: number): Promise<void> {
+  async handlePeerStamp(peerId: string, stamp: number): Promise<void> {
     const currentStamp = this.store.stamp;
     if (stamp === currentStamp || revisionOfStamp(stamp) < this.store.revision || stamp === 0) return;
     if (this.#fetchingStamps.has(stamp)) return;
@@ -156,7 +156,7 @@
 
   /** Fetches missing chunks and puts the revision in force. Returns whether it is in force afterwards. */
   async #adopt(head: RevisionHead, sourceVersion: number, from: string, read: ChunkReader): Promise<boolean> {
-    const headCheck = this.store.examine(head, sourceVersion);
+    const headCheck = this.store.checkHead(head, sourceVersion);
     if (headCheck.isErr()) return this.#reportRefusal(head, headCheck.error, from);
     const chunks = new Map<string, string>();
     for (const sha256 of head.chunks) {
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -7,8 +7,8 @@
   splitConfiguration,
   joinConfiguration,
   planDigest,
-  publishable,
-  type Publishable,
+  buildPublication,
+  type Publication,
   type RevisionError,
   GENESIS,
 } from './revision.js';
--- a/packages/configuration/src/revision-store.ts
+++ b/packages/configuration/src/revision-store.ts
@@ -82,7 +82,7 @@
   }
 
   /** Checks whether the revision of a head could be put in force. Called before its chunks are fetched. */
-  examine(head: RevisionHead, sourceVersion: number): Result<void, AcceptRefusal> {
+  checkHead(head: RevisionHead, sourceVersion: number): Result<void, AcceptRefusal> {
     const current = this.#inForce;
     const expected = planDigest(head.previousRevision, head.previousDigest, head.digest);
     if (head.planDigest !== expected) {
@@ -111,7 +111,7 @@
    * @param chunks texts of all chunks of the revision by SHA-256
    */
   accept(head: RevisionHead, sourceVersion: number, chunks: ReadonlyMap<string, string>): AcceptOutcome {
-    const checked = this.examine(head, sourceVersion);
+    const checked = this.checkHead(head, sourceVersion);
     if (checked.isErr()) return err(checked.error);
     const joined = joinConfiguration(head, (sha256) => chunks.get(sha256));
     if (joined.isErr()) return err(joined.error);
--- a/packages/configuration/src/revision.ts
+++ b/packages/configuration/src/revision.ts
@@ -138,7 +138,7 @@
 }
 
 /** The documents that an operator publishes for a revision, in order: first the chunks, then the head. */
-export interface Publishable {
+export interface Publication {
   readonly head: RevisionHead;
   readonly documents: readonly { readonly key: string; readonly value: string }[];
 }
@@ -147,11 +147,11 @@
  * Creates the documents that publish `configuration` as the revision after `previous`.
  * @param serviceVersion current version of the head in the configuration service; 0 if there is none
  */
-export function publishable(
+export function buildPublication(
   configuration: Configuration,
   previous: { readonly revision: number; readonly digest: string },
   serviceVersion: number,
-): Publishable {
+): Publication {
   const { digest, chunks } = splitConfiguration(configuration);
   const head: RevisionHead = {
     revision: previous.revision + 1,
--- a/packages/configuration/test/revision-store.test.ts
+++ b/packages/configuration/test/revision-store.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { configurationSchema, type Configuration } from '@canvasridge/domain';
-import { RevisionStore, publishable, type Publishable } from '../src/index.js';
+import { RevisionStore, buildPublication, type Publication } from '../src/index.js';
 
 function configuration(adapterNames: readonly string[]): Configuration {
   return configurationSchema.parse({
@@ -11,21 +11,21 @@
   });
 }
 
-function chunksOf(published: Publishable): Map<string, string> {
+function chunksOf(published: Publication): Map<string, string> {
   return new Map(
     published.documents.map((document) => [document.key.replace('canvasridge/chunk/', ''), document.value]),
   );
 }
 
 const GENESIS = { revision: 0, digest: '0'.repeat(64) };
-const first = publishable(configuration(['a']), GENESIS, 0);
-const second = publishable(configuration(['a', 'b']), first.head, 1);
+const first = buildPublication(configuration(['a']), GENESIS, 0);
+const second = buildPublication(configuration(['a', 'b']), first.head, 1);
 /** Planned against the first revision, like `second`, but published after `second`. */
-const concurrentSecond = publishable(configuration(['a', 'c']), first.head, 1);
-const third = publishable(configuration(['a', 'b', 'd']), second.head, 2);
-const thirdOnConcurrent = publishable(configuration(['a', 'c', 'd']), concurrentSecond.head, 2);
+const concurrentSecond = buildPublication(configuration(['a', 'c']), first.head, 1);
+const third = buildPublication(configuration(['a', 'b', 'd']), second.head, 2);
+const thirdOnConcurrent = buildPublication(configuration(['a', 'c', 'd']), concurrentSecond.head, 2);
 
-function accept(store: RevisionStore, published: Publishable, sourceVersion: number): string {
+function accept(store: RevisionStore, published: Publication, sourceVersion: number): string {
   return store.accept(published.head, sourceVersion, chunksOf(published)).match(
     (index) => `revision ${index.revision}`,
     (refusal) => refusal.kind,
@@ -33,7 +33,7 @@
 }
 
 interface Step {
-  readonly published: Publishable;
+  readonly published: Publication;
   readonly sourceVersion: number;
   readonly expected: string;
 }
@@ -94,7 +94,7 @@
     name: 'a configuration that the fleet cannot fulfil is refused',
     steps: [
       {
-        published: publishable({ ...configuration(['a']), engines: [] }, GENESIS, 0),
+        published: buildPublication({ ...configuration(['a']), engines: [] }, GENESIS, 0),
         sourceVersion: 1,
         expected: 'intent-unmet',
       },
@@ -111,8 +111,8 @@
 
 test('adding one adapter to many changes one chunk', (t) => {
   const names = Array.from({ length: 6000 }, (_unused, index) => `adapter-${index}`);
-  const before = publishable(configuration(names), GENESIS, 0);
-  const after = publishable(configuration([...names, 'one-more']), before.head, 1);
+  const before = buildPublication(configuration(names), GENESIS, 0);
+  const after = buildPublication(configuration([...names, 'one-more']), before.head, 1);
   t.true(before.head.chunks.length > 2);
   t.is(after.head.chunks.filter((chunk) => !before.head.chunks.includes(chunk)).length, 1);
 });
--- a/packages/gateway/src/cluster/cluster.ts
+++ b/packages/gateway/src/cluster/cluster.ts
@@ -168,7 +168,7 @@
 
   /** Reports that a peer's machine refused a connection, so no process listens there. */
   peerRefused(peerAddress: string): void {
-    this.#membership.reportRefused(peerAddress);
+    this.#membership.reportConnectionRefused(peerAddress);
   }
 
   /** Announces to the others that this node takes no new work. */
@@ -263,7 +263,7 @@
   publishBusy(busy: boolean): void {
     const value: BusyRecord | null = busy ? { token: this.#options.processToken } : null;
     this.#membership.publish(BUSY_KEY, value);
-    this.#membership.pushNow();
+    this.#membership.gossipNow();
   }
 
   publishQuarantine({ quarantined, suspects }: PublishedQuarantine): void {
@@ -272,7 +272,7 @@
       suspects: [...suspects],
     };
     this.#membership.publish(QUARANTINE_KEY, value);
-    this.#membership.pushNow();
+    this.#membership.gossipNow();
   }
 
   /**
@@ -313,7 +313,7 @@
     const claim: ClaimRecord | null =
       epoch === undefined ? null : { epoch, token: this.#options.processToken };
     this.#membership.publish(CLAIM_PREFIX + pool, claim);
-    this.#membership.pushNow();
+    this.#membership.gossipNow();
   }
 
   seesMost(): boolean {
@@ -349,13 +349,13 @@
   }
 
   /** Asks members whether they are reachable; returns those that answered in time. */
-  inReach(ids: readonly string[], timeoutMs: number): Promise<string[]> {
-    return this.#membership.inReach(ids, timeoutMs);
+  findReachable(ids: readonly string[], timeoutMs: number): Promise<string[]> {
+    return this.#membership.findReachable(ids, timeoutMs);
   }
 
   /** Learns from members what this node missed while it was unreachable. */
   catchUpWith(ids: readonly string[]): void {
-    this.#membership.compareWith(ids);
+    this.#membership.startComparisonWith(ids);
   }
 
   /** Whether every member that was seen recently is visible. */
@@ -364,7 +364,7 @@
   }
 
   #members(): MemberView {
-    const known = this.#membership.known();
+    const known = this.#membership.knownMembers();
     const present = this.#membership.present();
     if (this.#view?.known !== known || this.#view.present !== present) {
       this.#view = this.#viewOf(known, present);
--- a/packages/gateway/src/cluster/order-permission.ts
+++ b/packages/gateway/src/cluster/order-permission.ts
@@ -86,7 +86,7 @@
       clock: fleetClock,
       random,
       members: () => cluster.recentMembers(),
-      ask: (members, timeoutMs) => cluster.inReach(members, timeoutMs),
+      ask: (members, timeoutMs) => cluster.findReachable(members, timeoutMs),
       onReachableAgain: (members) => cluster.catchUpWith(members),
     });
     this.#pauses = new PauseDetector(clock, timing.leaseMs / 3);
--- a/packages/load/src/faults/breaks.ts
+++ b/packages/load/src/faults/breaks.ts
@@ -40,7 +40,7 @@
     name: 'witness-lease',
     promise: 'never-unload-serving',
     what: 'leases on engines that check no fences are believed to last ten times as long, and no order to be late',
-    changes: { ownershipTiming: { clockSkew: -9, orderTimeoutMs: 0 } },
+    changes: { ownershipTiming: { maxClockDrift: -9, orderTimeoutMs: 0 } },
     faults: ['pause-node', 'pause-node', 'pause-node', 'popularity-jump', 'popularity-jump'],
     requestsPerSecond: 40,
   },
@@ -186,7 +186,7 @@
 }
 
 class CredulousStore extends RevisionStore {
-  override examine(): ReturnType<RevisionStore['examine']> {
+  override checkHead(): ReturnType<RevisionStore['checkHead']> {
     return ok();
   }
 }
--- a/packages/load/src/processes/deployment.ts
+++ b/packages/load/src/processes/deployment.ts
@@ -2,7 +2,7 @@
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { publishable, type RevisionHead } from '@canvasridge/configuration';
+import { buildPublication, type RevisionHead } from '@canvasridge/configuration';
 import { configurationSchema, type Configuration, type NodeStatus } from '@canvasridge/domain';
 import type { Fault, StandinRecords } from '@canvasridge/standin';
 import { request } from 'undici';
@@ -121,7 +121,7 @@
   /** Publishes a configuration as the next revision, as an operator would. */
   async publish(configuration: Configuration): Promise<void> {
     const previous = this.#head ?? { revision: 0, digest: '0'.repeat(64) };
-    const { head, documents } = publishable(configuration, previous, this.#head?.serviceVersion ?? 0);
+    const { head, documents } = buildPublication(configuration, previous, this.#head?.serviceVersion ?? 0);
     for (const document of documents) await this.#post(`${this.platformUrl}/operator/publish`, document);
     this.#head = head;
   }
--- a/packages/load/src/simulation/fleet.ts
+++ b/packages/load/src/simulation/fleet.ts
@@ -1,5 +1,5 @@
 import { Random, VirtualClock } from '@canvasridge/clock';
-import { publishable, type RevisionHead, type RevisionStore } from '@canvasridge/configuration';
+import { buildPublication, type RevisionHead, type RevisionStore } from '@canvasridge/configuration';
 import type { Configuration, EngineClient, EngineDefinition } from '@canvasridge/domain';
 import type { MemberIdentity, MembershipTiming, PeerCaller } from '@canvasridge/membership';
 import { EntryNode, type NodePorts } from '@canvasridge/node';
@@ -165,7 +165,7 @@
     confirmedAt = this.#publications,
   ): RevisionHead {
     const previous = base ?? { revision: 0, digest: '0'.repeat(64) };
-    const { head, documents } = publishable(configuration, previous, confirmedAt);
+    const { head, documents } = buildPublication(configuration, previous, confirmedAt);
     for (const document of documents) this.standin.configuration.publish(document.key, document.value);
     this.#publications += 1;
     return head;
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -148,7 +148,7 @@
   }
 
   /** Sends queued updates to a few random members immediately. */
-  pushNow(): void {
+  gossipNow(): void {
     for (const member of this.#randomMembers(this.#timing.gossipFanout)) this.#send(member.gossip, 'gossip');
   }
 
@@ -211,7 +211,7 @@
   /**
    * Pings known members regardless of their believed state. Returns those that answered within the timeout.
    */
-  async inReach(ids: readonly string[], timeoutMs: number): Promise<string[]> {
+  async findReachable(ids: readonly string[], timeoutMs: number): Promise<string[]> {
     const answers = await Promise.all(
       ids.map((id) => {
         const member = this.#table.get(id);
@@ -225,7 +225,7 @@
    * Starts a comparison of state with these members immediately. This node may have missed updates that are
    * not sent again, because members that believed it gone sent it nothing.
    */
-  compareWith(ids: readonly string[]): void {
+  startComparisonWith(ids: readonly string[]): void {
     for (const id of ids) {
       const member = this.#table.get(id);
       if (member !== undefined) this.#send(member.gossip, 'digest', 0, this.#comparison.digest());
@@ -237,7 +237,7 @@
    * dead without a suspicion period. A member that is wrongly declared dead refutes it as it would refute a
    * suspicion.
    */
-  reportRefused(peerUrl: string): void {
+  reportConnectionRefused(peerUrl: string): void {
     const target = this.#presentByPeerUrl(peerUrl);
     if (target === undefined) return;
     // The connection may have been refused before the currently known process started.
@@ -253,7 +253,7 @@
    * All other known members, including dead and departed ones. Returns the same array until something
    * changes.
    */
-  known(): readonly Member[] {
+  knownMembers(): readonly Member[] {
     return this.#table.all();
   }
 
@@ -278,7 +278,7 @@
     while (!this.#stop.signal.aborted) {
       if (this.#queue.size === 0) await this.#updateQueued.wait();
       if (this.#stop.signal.aborted) return;
-      this.pushNow();
+      this.gossipNow();
       await this.#clock.sleep(this.#timing.gossipPeriodMs, this.#stop.signal);
     }
   }
@@ -309,7 +309,7 @@
     this.#incarnation += 1;
     this.#announceSelf();
     // The others went on meanwhile, and updates that this node missed are not sent again on their own.
-    this.compareWith(this.#randomMembers(COMPARISON_PARTNERS).map(({ id }) => id));
+    this.startComparisonWith(this.#randomMembers(COMPARISON_PARTNERS).map(({ id }) => id));
   }
 
   #nextProbeTarget(): Member | undefined {
@@ -498,7 +498,8 @@
     if (incarnation < this.#incarnation || (incarnation === this.#incarnation && agrees)) return;
     this.#incarnation = incarnation + 1;
     this.#announceSelf();
-    if (state === 'dead') this.compareWith(this.#randomMembers(COMPARISON_PARTNERS).map(({ id }) => id));
+    if (state === 'dead')
+      this.startComparisonWith(this.#randomMembers(COMPARISON_PARTNERS).map(({ id }) => id));
   }
 
   // --- sending -----------------------------------------------------------------------------------
--- a/packages/membership/test/membership.test.ts
+++ b/packages/membership/test/membership.test.ts
@@ -125,11 +125,11 @@
   members.get('a')?.publish('key', 'news');
   await network.clock.runUntil(40_000);
   network.disconnected.delete('b');
-  const answered = members.get('b')?.inReach(['a', 'c'], 300) ?? Promise.resolve([]);
+  const answered = members.get('b')?.findReachable(['a', 'c'], 300) ?? Promise.resolve([]);
   await network.clock.runUntil(40_100);
   t.deepEqual(await answered, ['a', 'c']);
   for (const id of ['a', 'c']) t.is(stateOf(members, 'b', id), 'alive');
-  members.get('b')?.compareWith(['a']);
+  members.get('b')?.startComparisonWith(['a']);
   await network.clock.runUntil(40_200);
   const values = [...(members.get('b')?.recordsOf('a') ?? [])].map(({ value }) => value);
   t.deepEqual(values, ['news']);
--- a/packages/node/src/control/engine-fleet.ts
+++ b/packages/node/src/control/engine-fleet.ts
@@ -2,13 +2,18 @@
 import type { ConfigurationIndex, EngineClient, EngineDefinition } from '@canvasridge/domain';
 import { adapterKey, type AdapterRef } from '@canvasridge/domain';
 import type { Member } from '@canvasridge/membership';
-import type { EngineOwnership, OwnedState, OwnershipManager, OwnershipTiming } from '@canvasridge/ownership';
+import type {
+  EngineOwnership,
+  TakeoverState,
+  OwnershipManager,
+  OwnershipTiming,
+} from '@canvasridge/ownership';
 import {
   AdapterCandidates,
   chooseEngine,
   hash32,
-  type EngineOutlook,
-  type LoadWish,
+  type RouteCandidate,
+  type LoadGrantRequest,
   type LoadGrant,
 } from '@canvasridge/placement';
 import type { Telemetry } from '@canvasridge/telemetry';
@@ -23,7 +28,7 @@
   readonly member: (id: string) => Member | undefined;
   readonly isLeaving: (machine: string | undefined) => boolean;
   readonly newClient: (engine: EngineDefinition) => EngineClient;
-  readonly acquireLoad: (request: LoadWish, signal: AbortSignal) => Promise<LoadGrant | undefined>;
+  readonly acquireLoad: (request: LoadGrantRequest, signal: AbortSignal) => Promise<LoadGrant | undefined>;
   readonly publish: (key: string, value: EngineRecord) => void;
 }
 
@@ -114,7 +119,7 @@
 
   // --- ownership events --------------------------------------------------------------------------
 
-  onHeld(ownership: EngineOwnership, state: OwnedState): void {
+  onHeld(ownership: EngineOwnership, state: TakeoverState): void {
     const { engine } = ownership;
     let scheduler = this.#schedulers.get(engine.id);
     if (scheduler === undefined || scheduler.engine !== engine) {
@@ -170,10 +175,10 @@
     this.#serviceSeconds += SMOOTHING_FACTOR * (seconds - this.#serviceSeconds);
   }
 
-  #routeCandidates(model: AdapterRef, excluded: ReadonlySet<string>): EngineOutlook[] {
+  #routeCandidates(model: AdapterRef, excluded: ReadonlySet<string>): RouteCandidate[] {
     const key = adapterKey(model);
     const ranked = this.#adapterCandidates?.of(model.base, model.adapter) ?? [];
-    const candidates: EngineOutlook[] = [];
+    const candidates: RouteCandidate[] = [];
     let absent = 0;
     for (const [rank, engine] of ranked.entries()) {
       if (excluded.has(engine.id) || this.#options.isLeaving(engine.machine)) continue;
@@ -188,7 +193,7 @@
     return candidates;
   }
 
-  #routeCandidate(engine: EngineDefinition, key: string, rank: number): EngineOutlook | undefined {
+  #routeCandidate(engine: EngineDefinition, key: string, rank: number): RouteCandidate | undefined {
     const sameZone = engine.zone === this.#options.self().zone;
     const scheduler = this.schedulerOf(engine.id);
     if (scheduler === undefined) {
--- a/packages/node/src/control/remote-engines.ts
+++ b/packages/node/src/control/remote-engines.ts
@@ -1,6 +1,6 @@
 import type { EngineDefinition } from '@canvasridge/domain';
 import type { Member, PublishedRecord } from '@canvasridge/membership';
-import { hash32, type EngineOutlook } from '@canvasridge/placement';
+import { hash32, type RouteCandidate } from '@canvasridge/placement';
 import * as z from 'zod';
 
 /**
@@ -113,7 +113,7 @@
     rank: number,
     sameZone: boolean,
     nowMs: number,
-  ): EngineOutlook | undefined {
+  ): RouteCandidate | undefined {
     const remote = this.#engines.get(engine.id);
     if (remote === undefined) return undefined;
     // The published count lags, but at least the requests forwarded by this node are running.
@@ -135,7 +135,7 @@
     engineId: string,
     key: string,
     nowMs: number,
-  ): EngineOutlook['adapter'] {
+  ): RouteCandidate['adapter'] {
     if (remote.loaded.has(hash32(key))) return 'loaded';
     const expectedKey = `${engineId}/${key}`;
     const expected = this.#expectedLoads.get(expectedKey);
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -249,7 +249,7 @@
       ...(membershipTiming === undefined ? {} : { timing: membershipTiming }),
       events: {
         onMember: (member) => this.#memberChanged(member),
-        onRevision: (member, stamp) => void this.follower.heardOf(member.id, stamp),
+        onRevision: (member, stamp) => void this.follower.handlePeerStamp(member.id, stamp),
         onRecord: (record) => this.fleet.view.update(record),
       },
     });
@@ -318,7 +318,7 @@
   #applyRevision(index: ConfigurationIndex): void {
     if (this.#state === 'starting') this.#state = 'ready';
     this.fleet.configure(index);
-    this.membership.pushNow();
+    this.membership.gossipNow();
   }
 
   #newGrants(): LoadGrants {
--- a/packages/node/src/scheduling/adapter-loader.ts
+++ b/packages/node/src/scheduling/adapter-loader.ts
@@ -1,7 +1,12 @@
 import type { Clock } from '@canvasridge/clock';
 import type { EngineClient, EngineDefinition } from '@canvasridge/domain';
 import type { EngineOwnership } from '@canvasridge/ownership';
-import { chooseVictim, type EvictionCandidate, type LoadGrant, type LoadWish } from '@canvasridge/placement';
+import {
+  chooseVictim,
+  type EvictionCandidate,
+  type LoadGrant,
+  type LoadGrantRequest,
+} from '@canvasridge/placement';
 import type { Telemetry } from '@canvasridge/telemetry';
 import { isIdle, newSlot, type Slot } from './slot.js';
 import type { SlotSet } from './slot-set.js';
@@ -13,7 +18,7 @@
   readonly slots: SlotSet;
   readonly clock: Clock;
   readonly telemetry: Telemetry;
-  readonly acquireLoad: (request: LoadWish, signal: AbortSignal) => Promise<LoadGrant | undefined>;
+  readonly acquireLoad: (request: LoadGrantRequest, signal: AbortSignal) => Promise<LoadGrant | undefined>;
   /** Number of queued requests for an adapter, weighted by priority. */
   readonly waitingWeight: (key: string) => number;
   readonly evictionCandidate: (slot: Slot) => EvictionCandidate;
@@ -190,7 +195,7 @@
     const reason = answer.isErr() ? answer.error.kind : answer.value.kind;
     telemetry.event('warn', 'adapter.load-failed', key, { engine: engine.id, reason });
     if (answer.isErr()) ownership.abandon('load order was not answered by the engine');
-    else if (answer.value.kind === 'stale-fence') ownership.fenceRefused(fence);
+    else if (answer.value.kind === 'stale-fence') ownership.handleStaleFence(fence);
     return false;
   }
 }
--- a/packages/node/src/scheduling/engine-scheduler.ts
+++ b/packages/node/src/scheduling/engine-scheduler.ts
@@ -6,7 +6,7 @@
   type GenerationEnd,
   type StreamSink,
 } from '@canvasridge/domain';
-import type { OwnedState } from '@canvasridge/ownership';
+import type { TakeoverState } from '@canvasridge/ownership';
 import { DemandTracker, type EvictionCandidate } from '@canvasridge/placement';
 import { err, ok, type Result } from 'neverthrow';
 import { AdapterLoader, type LoadOutcome } from './adapter-loader.js';
@@ -125,7 +125,7 @@
   }
 
   /** Called when this node has claimed the engine: takes over the adapters loaded on it. */
-  takeOver(state: OwnedState): void {
+  takeOver(state: TakeoverState): void {
     const nowMs = this.#clock.now();
     const report = state.report.incarnation === state.incarnation ? state.report : undefined;
     const untracked = { minReportFence: state.fence, snapshotAfterMs: nowMs + this.#options.orderTimeoutMs };
@@ -296,7 +296,7 @@
         slot.untracked = { minReportFence: fence + 1, snapshotAfterMs: nowMs + orderTimeoutMs };
         return;
       case 'stale-fence':
-        if (incarnation === ownership.incarnation) ownership.fenceRefused(fence);
+        if (incarnation === ownership.incarnation) ownership.handleStaleFence(fence);
         return;
       case 'adapter-not-loaded':
         if (slot.state === 'ready' && slot.inFlight === 1) this.#slots.remove(slot, nowMs);
--- a/packages/node/src/scheduling/engine-work.ts
+++ b/packages/node/src/scheduling/engine-work.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@canvasridge/clock';
 import type { EngineClient, EngineDefinition, EngineError, EngineRequest } from '@canvasridge/domain';
 import type { EngineOwnership } from '@canvasridge/ownership';
-import type { LoadGrant, LoadWish } from '@canvasridge/placement';
+import type { LoadGrant, LoadGrantRequest } from '@canvasridge/placement';
 import type { Telemetry } from '@canvasridge/telemetry';
 
 /** A generation to run on an engine that this node owns. */
@@ -31,7 +31,7 @@
   readonly ownership: EngineOwnership;
   readonly clock: Clock;
   readonly telemetry: Telemetry;
-  readonly acquireLoad: (request: LoadWish, signal: AbortSignal) => Promise<LoadGrant | undefined>;
+  readonly acquireLoad: (request: LoadGrantRequest, signal: AbortSignal) => Promise<LoadGrant | undefined>;
   readonly queueLimit: () => number;
   /** Whether the engine's machine is being removed, in which case the engine gets no new work. */
   readonly isLeaving: () => boolean;
--- a/packages/node/src/scheduling/load-grants.ts
+++ b/packages/node/src/scheduling/load-grants.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@canvasridge/clock';
 import type { Member, PeerCaller } from '@canvasridge/membership';
-import { LoadQueue, highestRendezvous, type LoadGrant, type LoadWish } from '@canvasridge/placement';
+import { LoadQueue, highestRendezvous, type LoadGrant, type LoadGrantRequest } from '@canvasridge/placement';
 import * as z from 'zod';
 
 /** Parameters of the methods that peers call on this node. */
@@ -70,7 +70,7 @@
   }
 
   /** Resolves when the load may start, or with undefined when `signal` is aborted first. */
-  async acquire(request: LoadWish, signal: AbortSignal): Promise<LoadGrant | undefined> {
+  async acquire(request: LoadGrantRequest, signal: AbortSignal): Promise<LoadGrant | undefined> {
     while (!signal.aborted) {
       const coordinator = this.#coordinator();
       if (coordinator === undefined || coordinator.id === this.#options.self().id)
@@ -115,7 +115,7 @@
 
   async #acquireFrom(
     coordinator: Member,
-    request: LoadWish,
+    request: LoadGrantRequest,
     signal: AbortSignal,
   ): Promise<LoadGrant | undefined> {
     const { caller, clock, self } = this.#options;
--- a/packages/node/test/bad-input.test.ts
+++ b/packages/node/test/bad-input.test.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo } from 'node:net';
 import { createHash } from 'node:crypto';
 import test from 'ava';
-import { publishable } from '@canvasridge/configuration';
+import { buildPublication } from '@canvasridge/configuration';
 import { configurationSchema } from '@canvasridge/domain';
 import { request } from 'undici';
 import { startNodeProcess, nodeSettingsSchema, type NodeProcess } from '../src/index.js';
@@ -46,7 +46,7 @@
  * Starts a stand-in of the platform: a configuration service with one revision, and an empty machine list.
  */
 async function startPlatform(): Promise<Server> {
-  const { documents } = publishable(configuration, { revision: 0, digest: '0'.repeat(64) }, 0);
+  const { documents } = buildPublication(configuration, { revision: 0, digest: '0'.repeat(64) }, 0);
   const values = new Map(documents.map((document) => [document.key, document.value]));
   const server = createServer((incoming, outgoing) => {
     const key = decodeURIComponent(incoming.url?.split('?')[0]?.slice('/values/'.length) ?? '');
--- a/packages/ownership/src/engine-ownership.ts
+++ b/packages/ownership/src/engine-ownership.ts
@@ -4,7 +4,7 @@
 import type { OwnershipTiming } from './timing.js';
 
 /** What a node knows about an engine when it becomes its owner. */
-export interface OwnedState {
+export interface TakeoverState {
   readonly fence: number;
   readonly incarnation: string;
   /**
@@ -36,7 +36,7 @@
   };
   /** Whether requests or orders of this node have had an unknown outcome since the last claim. */
   readonly wantsNewFence: () => boolean;
-  readonly onHeld: (state: OwnedState) => void;
+  readonly onHeld: (state: TakeoverState) => void;
   readonly onLost: (reason: string) => void;
 }
 
@@ -122,7 +122,7 @@
   }
 
   /** Reports that the engine refused a request or order because its fence is outdated. */
-  fenceRefused(fence: number): void {
+  handleStaleFence(fence: number): void {
     if (fence === this.#fence) this.#endOwnership('stale fence');
   }
 
@@ -177,7 +177,7 @@
       await this.#options.requestReleaseFromOwner();
       return false;
     }
-    this.#leaseUntilMs = startedAtMs + timing.witnessLeaseMs * (1 - timing.clockSkew);
+    this.#leaseUntilMs = startedAtMs + timing.witnessLeaseMs * (1 - timing.maxClockDrift);
     return true;
   }
 
@@ -196,7 +196,8 @@
     }
     this.#fence = fence;
     this.#incarnation = answer.value.incarnation;
-    if (this.engine.checksFence) this.#leaseUntilMs = startedAtMs + timing.leaseMs * (1 - timing.clockSkew);
+    if (this.engine.checksFence)
+      this.#leaseUntilMs = startedAtMs + timing.leaseMs * (1 - timing.maxClockDrift);
     if (this.#clock.now() >= this.#leaseUntilMs) return;
     this.#held = true;
     telemetry.metrics.count('ownership.claimed');
@@ -245,7 +246,8 @@
     if (answer.value.kind !== 'done' || answer.value.incarnation !== this.#incarnation) {
       return this.#endOwnership('another claim or a restart');
     }
-    if (this.engine.checksFence) this.#leaseUntilMs = startedAtMs + timing.leaseMs * (1 - timing.clockSkew);
+    if (this.engine.checksFence)
+      this.#leaseUntilMs = startedAtMs + timing.leaseMs * (1 - timing.maxClockDrift);
     if (raisesFence) this.#recordRaisedFence(fence);
   }
 
@@ -257,7 +259,7 @@
   async #renewWithWitnesses(startedAtMs: number): Promise<boolean> {
     const { timing, witnesses } = this.#options;
     if (await witnesses.acquire(this.engine.id, timing.witnessLeaseMs)) {
-      this.#leaseUntilMs = startedAtMs + timing.witnessLeaseMs * (1 - timing.clockSkew);
+      this.#leaseUntilMs = startedAtMs + timing.witnessLeaseMs * (1 - timing.maxClockDrift);
       return true;
     }
     if (!this.held) this.#endOwnership('lease ended');
--- a/packages/ownership/src/index.ts
+++ b/packages/ownership/src/index.ts
@@ -1,6 +1,6 @@
 /** Decides which node owns each engine, that is, may send it orders, and maintains the leases for it. */
 export { assignOwners } from './desired-owner.js';
-export { EngineOwnership, type EngineOwnershipOptions, type OwnedState } from './engine-ownership.js';
+export { EngineOwnership, type EngineOwnershipOptions, type TakeoverState } from './engine-ownership.js';
 export {
   OwnershipManager,
   type OwnershipManagerOptions,
--- a/packages/ownership/src/ownership-manager.ts
+++ b/packages/ownership/src/ownership-manager.ts
@@ -5,13 +5,13 @@
 import type { Telemetry } from '@canvasridge/telemetry';
 import * as z from 'zod';
 import { assignOwners } from './desired-owner.js';
-import { EngineOwnership, type OwnedState } from './engine-ownership.js';
+import { EngineOwnership, type TakeoverState } from './engine-ownership.js';
 import type { OwnershipTiming } from './timing.js';
 import { WitnessTable, chooseWitnesses } from './witness-table.js';
 
 /** Callbacks for changes of the engines that this node owns. */
 export interface OwnershipEvents {
-  onHeld(ownership: EngineOwnership, state: OwnedState): void;
+  onHeld(ownership: EngineOwnership, state: TakeoverState): void;
   onLost(ownership: EngineOwnership, reason: string): void;
   /** Whether work of this node on the engine has an unknown outcome since the last claim. */
   wantsNewFence(engineId: string): boolean;
--- a/packages/ownership/src/timing.ts
+++ b/packages/ownership/src/timing.ts
@@ -7,7 +7,7 @@
   /** Length of a lease on an engine that does not check fences; a new owner waits until it has expired. */
   readonly witnessLeaseMs: number;
   /** Maximum difference between the clock rates of two machines, as a fraction. */
-  readonly clockSkew: number;
+  readonly maxClockDrift: number;
   /** Timeout of one order. No part of an order is still in transit after this time. */
   readonly orderTimeoutMs: number;
   /** Mean delay before the next attempt to acquire an engine. */
@@ -18,7 +18,7 @@
   leaseMs: 6000,
   renewPeriodMs: 2000,
   witnessLeaseMs: 9000,
-  clockSkew: 0.05,
+  maxClockDrift: 0.05,
   orderTimeoutMs: 3000,
   retryDelayMs: 500,
 };
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -5,5 +5,5 @@
 export { AdapterCandidates } from './adapter-candidates.js';
 export { DemandTracker } from './demand-tracker.js';
 export { chooseVictim, type EvictionCandidate } from './eviction.js';
-export { estimateSeconds, chooseEngine, type EngineOutlook, type RouteEstimate } from './route-cost.js';
-export { LoadQueue, type LoadGrant, type LoadWish } from './load-queue.js';
+export { estimateSeconds, chooseEngine, type RouteCandidate, type RouteEstimate } from './route-cost.js';
+export { LoadQueue, type LoadGrant, type LoadGrantRequest } from './load-queue.js';
--- a/packages/placement/src/load-queue.ts
+++ b/packages/placement/src/load-queue.ts
@@ -1,7 +1,7 @@
 import type { Clock, Timer } from '@canvasridge/clock';
 
-/** A request of the owner of an engine to load an adapter. */
-export interface LoadWish {
+/** A request of an engine's owner for a grant to load an adapter. */
+export interface LoadGrantRequest {
   readonly engineId: string;
   readonly key: string;
   /** Number of waiting requests times their priority: loads that unblock more waiting work start first. */
@@ -15,7 +15,7 @@
 
 /** A queued load request. */
 interface QueuedLoad {
-  readonly request: LoadWish;
+  readonly request: LoadGrantRequest;
   readonly queuedAtMs: number;
   readonly resolve: (grant: LoadGrant) => void;
 }
@@ -51,7 +51,7 @@
   }
 
   /** Resolves with a grant when the load may start, or with undefined if `signal` is aborted first. */
-  acquire(request: LoadWish, signal: AbortSignal): Promise<LoadGrant | undefined> {
+  acquire(request: LoadGrantRequest, signal: AbortSignal): Promise<LoadGrant | undefined> {
     if (signal.aborted) return Promise.resolve(undefined);
     return new Promise((resolve) => {
       const handleAbort = (): void => {
--- a/packages/placement/src/route-cost.ts
+++ b/packages/placement/src/route-cost.ts
@@ -1,5 +1,5 @@
 /** What a node knows about an engine when it chooses one for a request. */
-export interface EngineOutlook {
+export interface RouteCandidate {
   readonly engineId: string;
   /** Whether the adapter is loaded on the engine, is being loaded, or neither. */
   readonly adapter: 'loaded' | 'loading' | 'absent';
@@ -37,7 +37,7 @@
 const SLOT_WAIT_SECONDS = 0.5;
 
 /** Estimates the wait for the first token on one engine. */
-export function estimateSeconds(engine: EngineOutlook, times: RouteTimings): RouteEstimate {
+export function estimateSeconds(engine: RouteCandidate, times: RouteTimings): RouteEstimate {
   const excessRequests = Math.max(0, engine.running + engine.queued + 1 - engine.maxBatch);
   const queueSeconds = (excessRequests * times.serviceSeconds) / engine.maxBatch;
   const stallSeconds = expectedStall(engine, times);
@@ -45,7 +45,7 @@
   return { waitSeconds: Math.max(queueSeconds, stallSeconds) + zoneSeconds, stallSeconds };
 }
 
-function expectedStall(engine: EngineOutlook, times: RouteTimings): number {
+function expectedStall(engine: RouteCandidate, times: RouteTimings): number {
   switch (engine.adapter) {
     case 'loaded':
       return 0;
@@ -64,11 +64,11 @@
  * batches.
  */
 export function chooseEngine(
-  engines: readonly EngineOutlook[],
+  engines: readonly RouteCandidate[],
   times: RouteTimings,
   stallWeight: number,
-): EngineOutlook | undefined {
-  let best: EngineOutlook | undefined;
+): RouteCandidate | undefined {
+  let best: RouteCandidate | undefined;
   let bestCost = Infinity;
   for (const engine of engines) {
     const cost = routeCost(engine, times, stallWeight);
@@ -84,7 +84,7 @@
 /** Cost of each position in the rendezvous ranking if the adapter must be loaded. */
 const RANK_SECONDS = 0.02;
 
-function routeCost(engine: EngineOutlook, times: RouteTimings, stallWeight: number): number {
+function routeCost(engine: RouteCandidate, times: RouteTimings, stallWeight: number): number {
   const { waitSeconds } = estimateSeconds(engine, times);
   const occupancy = Math.min(1, (engine.running + engine.queued) / engine.maxBatch);
   const emptyBatchCost = (1 - stallWeight) * OCCUPANCY_SECONDS * (1 - occupancy);
