--- a/packages/gateway/src/cluster/cluster.ts
+++ b/packages/gateway/src/cluster/cluster.ts
@@ -8,7 +8,7 @@
   type MemberState,
   type MembershipTiming,
 } from '@canvasridge/membership';
-import { PeerSight, type LeadershipPeers, type PoolClaim } from '@canvasridge/slots';
+import { PeerVisibility, type LeadershipPeers, type PoolClaim } from '@canvasridge/slots';
 import type { Telemetry } from '@canvasridge/telemetry';
 import type * as z from 'zod';
 import type { DirectoryCluster } from './directory.js';
@@ -96,7 +96,7 @@
   readonly #options: ClusterOptions;
   readonly #membership: Membership;
   readonly #records: PeerRecordReader;
-  readonly #sight: PeerSight;
+  readonly #visibility: PeerVisibility;
   readonly #addresses = new Set<string>();
   /** Notified when a member, or a record that a member published, changes. */
   readonly changed = new Notifier();
@@ -110,7 +110,7 @@
   constructor(options: ClusterOptions) {
     this.#options = options;
     this.#records = new PeerRecordReader(options.telemetry);
-    this.#sight = new PeerSight(options.clock, options.nodeId, ALONE_AFTER_MS);
+    this.#visibility = new PeerVisibility(options.clock, options.nodeId, ALONE_AFTER_MS);
     const { peerAddress, frontAddress } = options;
     this.#membership = new Membership({
       identity: {
@@ -153,7 +153,7 @@
   update(): void {
     const nowMs = this.#options.clock.now();
     const { present, visible, departed } = this.#members();
-    this.#sight.update(visible, departed);
+    this.#visibility.update(visible, departed);
     const count = present.length;
     if (count >= this.#nodeCount || nowMs - this.#nodeCountAtMs > NODE_COUNT_WINDOW_MS) {
       this.#nodeCount = count;
@@ -317,7 +317,7 @@
   }
 
   seesMost(): boolean {
-    return !this.#leaving && this.#sight.seesMost();
+    return !this.#leaving && this.#visibility.seesMost();
   }
 
   /**
@@ -325,27 +325,27 @@
    * lines.
    */
   get visibilityCounts(): { readonly visible: number; readonly lost: number } {
-    return { visible: this.#sight.visible.size, lost: this.#sight.lost.length };
+    return { visible: this.#visibility.visible.size, lost: this.#visibility.lost.length };
   }
 
-  /** Whether this node may be cut off without knowing it: see {@link PeerSight.isRemainder}. */
-  get isRemainder(): boolean {
-    return this.#sight.isRemainder;
+  /** Whether this node may be cut off without knowing it: see {@link PeerVisibility.mayBeCutOff}. */
+  get mayBeCutOff(): boolean {
+    return this.#visibility.mayBeCutOff;
   }
 
-  /** How long this node may have been cut off from all others: see {@link PeerSight.aloneMs}. */
-  get aloneMs(): number | undefined {
-    return this.#sight.aloneMs;
+  /** How long this node may have been cut off from all others: see {@link PeerVisibility.isolatedMs}. */
+  get isolatedMs(): number | undefined {
+    return this.#visibility.isolatedMs;
   }
 
   /** Members that recently became invisible without announcing that they leave. */
   lostMembers(): readonly string[] {
-    return this.#sight.lost;
+    return this.#visibility.lost;
   }
 
   /** Members that were visible recently, including those that no longer are, without this node. */
   recentMembers(): readonly string[] {
-    return [...this.#sight.visible, ...this.#sight.lost];
+    return [...this.#visibility.visible, ...this.#visibility.lost];
   }
 
   /** Asks members whether they are reachable; returns those that answered in time. */
@@ -360,7 +360,7 @@
 
   /** Whether every member that was seen recently is visible. */
   seesAll(): boolean {
-    return !this.#leaving && this.#sight.seesAll();
+    return !this.#leaving && this.#visibility.seesAll();
   }
 
   #members(): MemberView {
--- a/packages/gateway/src/cluster/order-permission.ts
+++ b/packages/gateway/src/cluster/order-permission.ts
@@ -1,5 +1,5 @@
 import type { Clock, ContinuousClock, Random } from '@canvasridge/clock';
-import { PauseDetector, type SlotTiming, type SwitchedOff } from '@canvasridge/slots';
+import { PauseDetector, type SlotTiming, type DisabledMechanisms } from '@canvasridge/slots';
 import type { Telemetry } from '@canvasridge/telemetry';
 import type { Cluster } from './cluster.js';
 import { LeaderQuorum } from './leader-quorum.js';
@@ -10,7 +10,10 @@
 export interface EngineFences {
   /** Whether engines refuse an order whose fencing token is lower than one that they have already seen. */
   readonly checked: boolean;
-  /** Time without a pause or loss of contact after which a node counts as stable, in milliseconds. */
+  /**
+   * Time in milliseconds after which a node counts as settled: it was neither paused nor out of contact with
+   * most others for so long.
+   */
   readonly settledAfterMs: number;
 }
 
@@ -24,7 +27,7 @@
   readonly timing: SlotTiming;
   readonly engineFences: EngineFences;
   /** Parts of the policy that are disabled, for measurements. */
-  readonly switchedOff: SwitchedOff;
+  readonly switchedOff: DisabledMechanisms;
   readonly telemetry: Telemetry;
   /** This node was paused or lost contact with most others, so its view of the engines may be out of date. */
   readonly onStateUncertain: (reason: string) => void;
@@ -130,12 +133,12 @@
    * may be cut off from them: orders that it did not give reveal a leader on their side, and a node that sees
    * nobody is more likely cut off than the last one running.
    */
-  mayTake({ leadingSinceMs, foreignOrdersMs }: PoolEntry): boolean {
+  mayTakeAfterLease({ leadingSinceMs, foreignOrdersMs }: PoolEntry): boolean {
     const { clock, cluster } = this.#options;
     const nowMs = clock.now();
     if (nowMs - leadingSinceMs < HANDOVER_MS) return false;
-    if (cluster.aloneMs !== undefined && cluster.aloneMs < OTHER_LEADER_WAIT_MS) return false;
-    return !cluster.isRemainder || nowMs - foreignOrdersMs >= OTHER_LEADER_WAIT_MS;
+    if (cluster.isolatedMs !== undefined && cluster.isolatedMs < OTHER_LEADER_WAIT_MS) return false;
+    return !cluster.mayBeCutOff || nowMs - foreignOrdersMs >= OTHER_LEADER_WAIT_MS;
   }
 
   /**
@@ -145,7 +148,7 @@
   recordForeignOrders(entry: PoolEntry): void {
     const nowMs = this.#options.clock.now();
     const isAfterLoss = !this.#seesMost && nowMs - this.#lastDisruptionMs > REPORTED_ORDERS_LAG_MS;
-    if (isAfterLoss || this.#options.cluster.isRemainder) entry.foreignOrdersMs = nowMs;
+    if (isAfterLoss || this.#options.cluster.mayBeCutOff) entry.foreignOrdersMs = nowMs;
   }
 
   /**
@@ -160,8 +163,9 @@
 
   /**
    * Whether this node may become holder of engines without waiting for a lease: the engines refuse lower
-   * fencing tokens, and no previous holder can still be stable and reachable. A process that has just started
-   * is not yet stable, so its own actions can't conflict with a holder that is.
+   * fencing tokens, and no previous holder can still be settled (see {@link EngineFences.settledAfterMs}) and
+   * reachable. A process that has just started is not yet settled, so its own actions can't conflict with a
+   * holder that is.
    */
   mayTakeAtOnce({ leading, formerLeader }: PoolEntry): boolean {
     const { clock, engineFences, switchedOff } = this.#options;
--- a/packages/gateway/src/cluster/slot-answers.ts
+++ b/packages/gateway/src/cluster/slot-answers.ts
@@ -93,7 +93,7 @@
     if (!leading) return;
     const { cluster } = this.#options;
     const others = cluster.serving().filter(({ id }) => id !== cluster.selfId);
-    if (others.length > 0 && others.every(({ id }) => reportedMembers.has(id))) pool?.usesKnown();
+    if (others.length > 0 && others.every(({ id }) => reportedMembers.has(id))) pool?.handleAllUsesReported();
   }
 
   onRateLimit(params: unknown): void {
--- a/packages/gateway/src/cluster/slot-service.ts
+++ b/packages/gateway/src/cluster/slot-service.ts
@@ -10,7 +10,7 @@
   type SlotDecision,
   type SlotRequest,
   type SlotTiming,
-  type SwitchedOff,
+  type DisabledMechanisms,
   type UseOutcome,
 } from '@canvasridge/slots';
 import type { Telemetry } from '@canvasridge/telemetry';
@@ -405,7 +405,7 @@
     if (!leads || entry.leading) return;
     entry.leading = true;
     entry.leadingSinceMs = this.#options.clock.now();
-    entry.pool.lead();
+    entry.pool.startLeading();
     for (const { backendId, rule } of this.#options.rateLimits.all())
       entry.pool.setRateLimit(backendId, rule);
     this.#options.clock.setTimer(HANDOVER_MS, () => entry.pool?.wakeLeases());
@@ -447,13 +447,13 @@
       mayOrder: () => entry.leading && permission.mayOrder(),
       term: () => entry.leadership.term,
       mayObserve: () => !this.#resigned,
-      mayTake: () => permission.mayTake(entry),
+      mayTakeAfterLease: () => permission.mayTakeAfterLease(entry),
       onForeignOrders: () => permission.recordForeignOrders(entry),
       mayTakeUnused: () => permission.mayTakeUnused(entry),
       mayTakeAtOnce: () => permission.mayTakeAtOnce(entry),
       memory: this.#memory,
       isBackingOff: (id) => this.#options.availability.isBackingOff(id),
-      off: this.#options.switchedOff,
+      disabled: this.#options.switchedOff,
       adapterVersion: (model, adapter) => fleet.adapterVersion(model, adapter),
       tenantWeight: (tenant) => fleet.routes?.tenants?.named(tenant)?.quota?.ratePerSecond ?? 1,
     });
@@ -505,6 +505,6 @@
   readonly holder: OrderHolder;
   readonly engineFences: EngineFences;
   /** Parts of the policy that are disabled, for measurements. */
-  readonly switchedOff: SwitchedOff;
+  readonly switchedOff: DisabledMechanisms;
   readonly telemetry: Telemetry;
 }
--- a/packages/gateway/src/gateway-settings.ts
+++ b/packages/gateway/src/gateway-settings.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@canvasridge/clock';
 import type { FleetState } from '@canvasridge/serving';
-import type { EngineControl, SlotTiming, SwitchedOff } from '@canvasridge/slots';
+import type { EngineControl, SlotTiming, DisabledMechanisms } from '@canvasridge/slots';
 import type { Telemetry } from '@canvasridge/telemetry';
 import type { RetryBudgetOptions } from './backends/retry-budget.js';
 import type { QuotaTolerance } from './cluster/fleet-quotas.js';
@@ -26,7 +26,7 @@
   readonly slotTiming: SlotTiming;
   readonly engineFences: EngineFences;
   /** Parts of the scheduling policy that are switched off, for measurements. */
-  readonly switchedOff: SwitchedOff;
+  readonly switchedOff: DisabledMechanisms;
   /** Time within which each node has to know that a backend leaves, in milliseconds. */
   readonly drainMs: number;
   /**
--- a/packages/gateway/test/virtual-holders.ts
+++ b/packages/gateway/test/virtual-holders.ts
@@ -118,9 +118,9 @@
     );
   }
 
-  /** Number of orders that arrived at any engine. */
+  /** Number of orders that any of the engines received. */
   get orders(): number {
-    return this.engines.reduce((sum, { arrived }) => sum + arrived.length, 0);
+    return this.engines.reduce((sum, { receivedOrders }) => sum + receivedOrders.length, 0);
   }
 
   /** The first node that considers itself the leader of a pool. */
--- a/packages/slots/src/index.ts
+++ b/packages/slots/src/index.ts
@@ -11,7 +11,7 @@
 } from './engine-control.js';
 export { OrderLease, type NotHeld, type OrderHolder, type OrderLeaseOptions } from './order-lease.js';
 export { StoreLoadBudget } from './store-load-budget.js';
-export { MECHANISMS, type Mechanism, type SwitchedOff } from './mechanisms.js';
+export { MECHANISMS, type Mechanism, type DisabledMechanisms } from './mechanisms.js';
 export { PauseDetector } from './pause-detector.js';
 export { AdapterMemory } from './adapter-memory.js';
 export type { PoolFigures } from './pool-figures.js';
@@ -20,4 +20,4 @@
 export type { RefusalReason, RunningUse, SlotDecision, SlotRequest, UseOutcome } from './slot-request.js';
 export { DEFAULT_SLOT_TIMING, type SlotTiming } from './timing.js';
 export { PoolLeadership, type LeadershipPeers, type PoolClaim } from './pool-leadership.js';
-export { PeerSight } from './peer-sight.js';
+export { PeerVisibility } from './peer-visibility.js';
--- a/packages/slots/src/load-placement.ts
+++ b/packages/slots/src/load-placement.ts
@@ -1,7 +1,7 @@
 import type { AdapterPopularity } from './adapter-popularity.js';
 import type { AdapterMemory } from './adapter-memory.js';
 import { RUNNING_COST_MS } from './engine-selector.js';
-import type { SwitchedOff } from './mechanisms.js';
+import type { DisabledMechanisms } from './mechanisms.js';
 import type { AdapterSlot, EngineSlots } from './engine-slots.js';
 
 /** The engine on which to load an adapter. */
@@ -32,7 +32,7 @@
   readonly hasSpare: boolean;
   readonly coldLoadMs: number;
   readonly warmLoadMs: number;
-  readonly disabled: SwitchedOff;
+  readonly disabled: DisabledMechanisms;
 }
 
 /** Fraction of its latest start age for which a request waits for an engine that has its adapter in host memory. */
--- a/packages/slots/src/load-starter.ts
+++ b/packages/slots/src/load-starter.ts
@@ -7,7 +7,7 @@
 import type { EngineEntry } from './engine-entry.js';
 import type { EngineRegistry } from './engine-registry.js';
 import { placeLoad, type LoadRequest } from './load-placement.js';
-import type { SwitchedOff } from './mechanisms.js';
+import type { DisabledMechanisms } from './mechanisms.js';
 import { canLoadMore, type PoolIndex } from './pool-index.js';
 import type { SlotRequest } from './slot-request.js';
 import type { WaitingList, WaitingRequest, WaitObstacle } from './waiting-list.js';
@@ -25,7 +25,7 @@
   readonly waiting: WaitingList;
   /** Whether an engine told this node to back off for a while, which includes orders. */
   readonly isBackingOff: (backendId: string) => boolean;
-  readonly disabled: SwitchedOff;
+  readonly disabled: DisabledMechanisms;
 }
 
 /** Orders loads of adapters for waiting requests if an engine can load one and the load is worthwhile. */
--- a/packages/slots/src/mechanisms.ts
+++ b/packages/slots/src/mechanisms.ts
@@ -30,4 +30,4 @@
 export type Mechanism = (typeof MECHANISMS)[number];
 
 /** The mechanisms that are disabled. */
-export type SwitchedOff = ReadonlySet<Mechanism>;
+export type DisabledMechanisms = ReadonlySet<Mechanism>;
--- a/packages/slots/src/order-lease.ts
+++ b/packages/slots/src/order-lease.ts
@@ -15,7 +15,7 @@
 const MAX_FENCED_ORDERS = 2;
 /**
  * How long after a report was requested an order may rely on the count in it, in milliseconds. This is about the lag of
- * the reports themselves, so a longer time would more than double the window in which foreign orders go unnoticed.
+ * the reports themselves, so a longer time would double the window in which foreign orders go unnoticed.
  */
 const REPORT_VALID_MS = 200;
 
@@ -48,7 +48,7 @@
    * Whether an engine may be taken whose count did not change for a whole lease. False while the previous leader may not
    * yet know that it was replaced.
    */
-  readonly mayTake: () => boolean;
+  readonly mayTakeAfterLease: () => boolean;
   /**
    * Whether any engine may be taken at once, because engines reject orders with lower fences and the previous holder is
    * known to be gone.
@@ -305,7 +305,8 @@
   }
 
   async #observe(state: LeaseState & { kind: 'observing' }): Promise<void> {
-    const { clock, fleetClock, timing, backend, control, mayOrder, mayTake, mayObserve } = this.#options;
+    const { clock, fleetClock, timing, backend, control, mayOrder, mayTakeAfterLease, mayObserve } =
+      this.#options;
     const askedMs = clock.now();
     const askedFleetMs = fleetClock.now();
     const report = mayObserve() ? await control.report(backend) : undefined;
@@ -327,7 +328,7 @@
     if (!unchanged && state.count !== undefined) this.#options.onForeignOrders();
     const sinceMs = unchanged ? state.sinceMs : askedMs;
     const leftMs = sinceMs + timing.leaseMs + timing.leaseMarginMs - askedMs;
-    if (unchanged && leftMs <= 0 && mayOrder() && mayTake()) {
+    if (unchanged && leftMs <= 0 && mayOrder() && mayTakeAfterLease()) {
       this.#fencedOrders = 0;
       this.#isContested = false;
       this.#becomeHolder(report, askedFleetMs, 'observed');
--- a/packages/slots/src/peer-sight.ts
+++ b/packages/slots/src/peer-visibility.ts
@@ -11,7 +11,7 @@
  * a node that has forgotten the members it lost sees a majority of the rest. It is therefore only one of several
  * conditions for giving orders.
  */
-export class PeerSight {
+export class PeerVisibility {
   readonly #clock: Clock;
   readonly #selfId: string;
   readonly #aloneAfterMs: number;
@@ -79,12 +79,12 @@
    * Whether this node may be cut off from a majority that has a leader of its own. It is if it did not see a majority
    * and then forgot the lost members, and until one of them has been back for a while.
    */
-  get isRemainder(): boolean {
+  get mayBeCutOff(): boolean {
     return this.#minoritySinceMs !== undefined || this.#clock.now() - this.#reunitedMs < REUNION_DELAY_MS;
   }
 
   /** How long this node may have been cut off without seeing any other member, in milliseconds; undefined otherwise. */
-  get aloneMs(): number | undefined {
+  get isolatedMs(): number | undefined {
     if (this.#minoritySinceMs === undefined || this.#visible.size > 0) return undefined;
     return this.#clock.now() - this.#minoritySinceMs;
   }
--- a/packages/slots/src/refusal-policy.ts
+++ b/packages/slots/src/refusal-policy.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@canvasridge/clock';
 import { startDelayMs, type EngineSelector } from './engine-selector.js';
 import type { EngineRegistry } from './engine-registry.js';
-import type { SwitchedOff } from './mechanisms.js';
+import type { DisabledMechanisms } from './mechanisms.js';
 import type { PoolIndex } from './pool-index.js';
 import type { RefusalReason } from './slot-request.js';
 import type { SlotTurnover } from './slot-turnover.js';
@@ -22,7 +22,7 @@
   readonly after: (delayMs: number, action: () => void) => void;
   /** Refuses a request that was removed from the waiting list. */
   readonly refuse: (waiting: WaitingRequest, reason: RefusalReason, retryAfterMs: number) => void;
-  readonly disabled: SwitchedOff;
+  readonly disabled: DisabledMechanisms;
 }
 
 /** How often waiting requests are checked. It delays a refusal by a few hundredths of an objective at most. */
--- a/packages/slots/src/slot-pool.ts
+++ b/packages/slots/src/slot-pool.ts
@@ -10,7 +10,7 @@
 import { EngineUses } from './engine-uses.js';
 import type { AdapterSlot, EngineSlots } from './engine-slots.js';
 import { LoadStarter, SPARE_SHARE } from './load-starter.js';
-import type { SwitchedOff } from './mechanisms.js';
+import type { DisabledMechanisms } from './mechanisms.js';
 import { ModelLoader } from './model-loader.js';
 import type { OrderLeaseOptions } from './order-lease.js';
 import { PoolIndex, countFetches } from './pool-index.js';
@@ -27,7 +27,7 @@
   /** Which adapters each engine likely has in its host memory. */
   readonly memory: AdapterMemory;
   /** Mechanisms that are disabled by a setting. */
-  readonly off: SwitchedOff;
+  readonly disabled: DisabledMechanisms;
   /** The published version of an adapter, 0 if none was published. */
   readonly adapterVersion: (model: string, adapter: string) => number;
   /** Whether an engine told this node to back off for a while. It may still accept other nodes. */
@@ -101,10 +101,10 @@
       if (isLoadingModel && entry !== undefined) this.#models.pollUntilIdle(slots, entry.lease);
       this.schedule();
     };
-    const learnsSpeed = !options.off.has('learnt-speed');
+    const learnsSpeed = !options.disabled.has('learnt-speed');
     this.#engines = new EngineRegistry({ clock, lease: options, after, onAdopted, learnsSpeed });
     const { poolSpeed } = this.#engines;
-    this.#waiting = new WaitingList((tokens) => tokens * poolSpeed.msPerToken, options.off, {
+    this.#waiting = new WaitingList((tokens) => tokens * poolSpeed.msPerToken, options.disabled, {
       gapMs: () => this.#turnover.meanGapMs(),
       weightOf: options.tenantWeight,
     });
@@ -118,7 +118,7 @@
       adapterPopularity: this.#popularity,
       waiting: this.#waiting,
       isBackingOff: options.isBackingOff,
-      disabled: options.off,
+      disabled: options.disabled,
     });
     this.#refusals = new RefusalPolicy({
       clock,
@@ -131,7 +131,7 @@
       fetchWindow: () => this.#adapters.fetchWindow,
       after,
       refuse: (waiting, reason, retryAfterMs) => this.#refuse(waiting, reason, retryAfterMs),
-      disabled: options.off,
+      disabled: options.disabled,
     });
   }
 
@@ -148,7 +148,7 @@
    * Called when this node becomes leader of the pool. Engines whose order count was already observed for a whole lease are
    * taken at once.
    */
-  lead(): void {
+  startLeading(): void {
     const evictAfterMs = this.#options.clock.now() + USES_REPORTED_WITHIN_MS;
     for (const { lease, slots } of this.#engines.all()) {
       slots.evictAfterMs = evictAfterMs;
@@ -162,7 +162,7 @@
   }
 
   /** Called when all nodes have reported their running requests. Idle adapters may be evicted from now on. */
-  usesKnown(): void {
+  handleAllUsesReported(): void {
     for (const { slots } of this.#engines.all()) slots.evictAfterMs = 0;
     this.schedule();
   }
@@ -325,7 +325,7 @@
     const backlogMs = engine === undefined ? Infinity : startDelayMs(engine, nowMs);
     // A copy of the adapter on a second engine takes a slot from another adapter. It is made just to save time only
     // while enough slots are idle.
-    const hasSpare = index.spareShare >= SPARE_SHARE || this.#options.off.has('spare-copies');
+    const hasSpare = index.spareShare >= SPARE_SHARE || this.#options.disabled.has('spare-copies');
     const copyAfterShare = hasSpare ? SHORT_BACKLOG_SHARE : LONG_BACKLOG_SHARE;
     const copyAfterMs = Math.min(request.objectiveMs * copyAfterShare, this.#maxBacklogMs(waiting, nowMs));
     const isShortBacklog = backlogMs <= copyAfterMs;
--- a/packages/slots/src/waiting-list.ts
+++ b/packages/slots/src/waiting-list.ts
@@ -1,4 +1,4 @@
-import type { SwitchedOff } from './mechanisms.js';
+import type { DisabledMechanisms } from './mechanisms.js';
 import type { SlotDecision, SlotRequest } from './slot-request.js';
 
 /** Fraction of the objective reserved for the way back of the first event and for unforeseen delays. */
@@ -66,7 +66,7 @@
 export class WaitingList {
   readonly #byId = new Map<string, WaitingRequest>();
   readonly #prefillMs: (tokens: number) => number;
-  readonly #disabled: SwitchedOff;
+  readonly #disabled: DisabledMechanisms;
   readonly #sharing: TenantSharing;
   /** By tenant: the time up to which its recent grants count, its virtual clock. */
   readonly #virtualTimeMs = new Map<string, number>();
@@ -76,7 +76,7 @@
   /** @param prefillMs estimates how long an engine takes to process a prompt of this length */
   constructor(
     prefillMs: (tokens: number) => number,
-    disabled: SwitchedOff = new Set(),
+    disabled: DisabledMechanisms = new Set(),
     sharing: TenantSharing = { gapMs: () => 0, weightOf: () => 1 },
   ) {
     this.#prefillMs = prefillMs;
--- a/packages/slots/test/leadership.test.ts
+++ b/packages/slots/test/leadership.test.ts
@@ -1,11 +1,11 @@
 import { VirtualClock } from '@canvasridge/clock';
 import { Telemetry } from '@canvasridge/telemetry';
 import test from 'ava';
-import { PauseDetector, PeerSight, PoolLeadership, type PoolClaim } from '../src/index.js';
+import { PauseDetector, PeerVisibility, PoolLeadership, type PoolClaim } from '../src/index.js';
 
 test('a node that sees less than half of the members it saw recently has no majority', async (t) => {
   const clock = new VirtualClock();
-  const visibility = new PeerSight(clock, 'a', 12_000);
+  const visibility = new PeerVisibility(clock, 'a', 12_000);
   visibility.update(['b', 'c', 'd', 'e'], []);
   t.true(visibility.seesMost());
   visibility.update(['b'], []);
@@ -19,41 +19,41 @@
 
 test('a node that lost and then forgot a majority may be cut off until a member has been back for a while', async (t) => {
   const clock = new VirtualClock();
-  const visibility = new PeerSight(clock, 'a', 12_000);
+  const visibility = new PeerVisibility(clock, 'a', 12_000);
   visibility.update(['b', 'c', 'd', 'e'], []);
   visibility.update(['b'], []);
-  t.false(visibility.isRemainder);
+  t.false(visibility.mayBeCutOff);
   await clock.runUntil(9000);
   visibility.update(['b'], []);
   t.true(visibility.seesMost());
-  t.true(visibility.isRemainder);
-  t.is(visibility.aloneMs, undefined);
+  t.true(visibility.mayBeCutOff);
+  t.is(visibility.isolatedMs, undefined);
   visibility.update([], []);
   await clock.runUntil(18_000);
   visibility.update([], []);
-  t.is(visibility.aloneMs, 9000);
+  t.is(visibility.isolatedMs, 9000);
   visibility.update(['c'], []);
-  t.true(visibility.isRemainder, 'it may not have learnt of their leader yet');
+  t.true(visibility.mayBeCutOff, 'it may not have learnt of their leader yet');
   await clock.runUntil(21_000);
-  t.false(visibility.isRemainder);
+  t.false(visibility.mayBeCutOff);
 });
 
 test('a node that forgets a minority of members is not considered cut off', async (t) => {
   const clock = new VirtualClock();
-  const visibility = new PeerSight(clock, 'a', 12_000);
+  const visibility = new PeerVisibility(clock, 'a', 12_000);
   visibility.update(['b', 'c', 'd', 'e'], []);
   visibility.update(['b', 'c', 'd'], []);
   await clock.runUntil(9000);
   visibility.update(['b', 'c', 'd'], []);
-  t.false(visibility.isRemainder);
+  t.false(visibility.mayBeCutOff);
 });
 
 test('of two equal halves, the one with the smallest id counts as the majority', (t) => {
   const clock = new VirtualClock();
-  const left = new PeerSight(clock, 'a', 12_000);
+  const left = new PeerVisibility(clock, 'a', 12_000);
   left.update(['b', 'c', 'd'], []);
   left.update(['b'], []);
-  const right = new PeerSight(clock, 'c', 12_000);
+  const right = new PeerVisibility(clock, 'c', 12_000);
   right.update(['a', 'b', 'd'], []);
   right.update(['d'], []);
   t.true(left.seesMost());
@@ -61,7 +61,7 @@
 });
 
 test('members that announced their departure do not count', (t) => {
-  const visibility = new PeerSight(new VirtualClock(), 'd', 12_000);
+  const visibility = new PeerVisibility(new VirtualClock(), 'd', 12_000);
   visibility.update(['a', 'b', 'c'], []);
   visibility.update(['c'], ['a', 'b']);
   t.true(visibility.seesMost());
@@ -69,7 +69,7 @@
 
 test('a node that has never seen another member acts alone only after a while', async (t) => {
   const clock = new VirtualClock();
-  const visibility = new PeerSight(clock, 'a', 12_000);
+  const visibility = new PeerVisibility(clock, 'a', 12_000);
   t.false(visibility.seesMost());
   await clock.runUntil(12_000);
   t.true(visibility.seesMost());
--- a/packages/slots/test/order-lease.test.ts
+++ b/packages/slots/test/order-lease.test.ts
@@ -17,7 +17,7 @@
   mayTakeUnused = false,
   mayTakeAtOnce = (): boolean => false,
   term = (leasesMade += 1),
-  mayTake = (): boolean => true,
+  mayTakeAfterLease = (): boolean => true,
 ): { lease: OrderLease; reports: EngineReport[] } {
   const reports: EngineReport[] = [];
   const lease = new OrderLease({
@@ -31,7 +31,7 @@
     mayOrder,
     term: () => term,
     mayObserve: () => true,
-    mayTake,
+    mayTakeAfterLease,
     onForeignOrders: () => undefined,
     mayTakeUnused: () => mayTakeUnused,
     mayTakeAtOnce,
@@ -73,7 +73,7 @@
   await clock.runUntil(12_600);
   t.deepEqual(await late, { kind: 'not-held' });
   t.false(idle.held);
-  t.is(engine.arrived.length, 2);
+  t.is(engine.receivedOrders.length, 2);
   t.deepEqual(engine.violations, []);
 });
 
@@ -91,19 +91,19 @@
   t.true(lease.held);
   void lease.order(load('a'));
   await clock.runUntil(9600);
-  t.is(engine.arrived.length, 1);
+  t.is(engine.receivedOrders.length, 1);
 });
 
 test('an engine whose count did not change for a lease is taken only once the previous leader knows it was replaced', async (t) => {
   const clock = new VirtualClock();
   const engine = new SimulatedEngine(clock, 'e');
-  let mayTake = false;
+  let mayTakeAfterLease = false;
   const always = (): boolean => true;
   const never = (): boolean => false;
-  const { lease } = newLease(clock, engine, 1, always, false, never, 1, () => mayTake);
+  const { lease } = newLease(clock, engine, 1, always, false, never, 1, () => mayTakeAfterLease);
   await clock.runUntil(10_000);
   t.false(lease.held);
-  mayTake = true;
+  mayTakeAfterLease = true;
   lease.wake();
   await clock.runUntil(10_100);
   t.true(lease.held);
--- a/packages/slots/test/simulated-engines.ts
+++ b/packages/slots/test/simulated-engines.ts
@@ -34,7 +34,7 @@
 export class SimulatedEngine {
   readonly description: BackendDescription;
   /** All received orders, whatever the answer. The rules for holders are checked on these. */
-  readonly arrived: TimedOrder[] = [];
+  readonly receivedOrders: TimedOrder[] = [];
   /** Orders that were carried out and counted. */
   readonly appliedOrders: TimedOrder[] = [];
   readonly violations: string[] = [];
@@ -139,9 +139,9 @@
    * the sender believed itself to be the holder.
    */
   #checkHolderRules(order: EngineOrder): void {
-    const last = this.arrived.at(-1);
+    const last = this.receivedOrders.at(-1);
     const atMs = this.#clock.now();
-    this.arrived.push({ atMs, order });
+    this.receivedOrders.push({ atMs, order });
     if (last === undefined || this.#isSharedFence(order, last.order, atMs) || this.checksFences) return;
     if (order.fence < this.#highestFence) this.violations.push(`ONE: fence fell at ${atMs}`);
     if (order.holder !== last.order.holder && atMs - last.atMs < LEASE_MS)
