--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -15,10 +15,10 @@
 export { HOME_EPOCH_MS, formatHome, parseHome, type HomeToken } from './home-token.js';
 export { TokenBucket } from './token-bucket.js';
 export { type QuotaDecision, type QuotaGate, type QuotaRule, type QuotaRules } from './quota/quota-gate.js';
-export { QuotaLedger, type Loan, type LoanRequest, type QuotaLedgerOptions } from './quota/quota-lender.js';
+export { QuotaLender, type Loan, type LoanRequest, type QuotaLenderOptions } from './quota/quota-lender.js';
 export { QuotaShares, type QuotaSharesOptions } from './quota/quota-shares.js';
 export { UnitBucket } from './quota/unit-bucket.js';
-export { QuotaWallet, type SendLoanRequests, type QuotaWalletOptions } from './quota/quota-borrower.js';
-export { INTERRUPTION_MS, InterruptionLedger } from './quarantine/interruption-history.js';
+export { QuotaBorrower, type SendLoanRequests, type QuotaBorrowerOptions } from './quota/quota-borrower.js';
+export { INTERRUPTION_WINDOW_MS, InterruptionHistory } from './quarantine/interruption-history.js';
 export { type QuarantineGate } from './quarantine/quarantine-gate.js';
 export { QUARANTINE_MS, QuarantineList, type QuarantinedRequest } from './quarantine/quarantine-list.js';
--- a/packages/admission/src/quarantine/interruption-history.ts
+++ b/packages/admission/src/quarantine/interruption-history.ts
@@ -5,7 +5,7 @@
  * backend that crashes by itself every few minutes would make every request that is sent repeatedly look like
  * the cause.
  */
-export const INTERRUPTION_MS = 600_000;
+export const INTERRUPTION_WINDOW_MS = 600_000;
 /**
  * Maximum number of tracked requests. The end of an engine interrupts up to 96 requests (one for each of its
  * slots), so this covers the ends of some 40 engines within the window. An entry takes some 200 bytes, all
@@ -19,7 +19,7 @@
 }
 
 /** Counts for each request, by its fingerprint, the different backends that failed while running it. */
-export class InterruptionLedger {
+export class InterruptionHistory {
   readonly #clock: Clock;
   /** In the order of the last interruption, oldest first. */
   readonly #byFingerprint = new Map<string, Interruptions>();
@@ -34,10 +34,10 @@
    * failure count once
    * @returns the number of different backends on which the request was interrupted recently
    */
-  note(fingerprint: string, backendId: string): number {
+  record(fingerprint: string, backendId: string): number {
     const nowMs = this.#clock.now();
     const recorded = this.#byFingerprint.get(fingerprint);
-    const isRecent = recorded !== undefined && nowMs - recorded.lastMs <= INTERRUPTION_MS;
+    const isRecent = recorded !== undefined && nowMs - recorded.lastMs <= INTERRUPTION_WINDOW_MS;
     const interruptions = isRecent ? recorded : { backends: new Set<string>(), lastMs: nowMs };
     interruptions.backends.add(backendId);
     interruptions.lastMs = nowMs;
@@ -61,7 +61,8 @@
     const nowMs = this.#clock.now();
     return [...this.#byFingerprint]
       .filter(
-        ([, recorded]) => recorded.backends.size >= backends && nowMs - recorded.lastMs <= INTERRUPTION_MS,
+        ([, recorded]) =>
+          recorded.backends.size >= backends && nowMs - recorded.lastMs <= INTERRUPTION_WINDOW_MS,
       )
       .map(([fingerprint]) => fingerprint)
       .reverse();
--- a/packages/admission/src/quarantine/quarantine-gate.ts
+++ b/packages/admission/src/quarantine/quarantine-gate.ts
@@ -16,5 +16,5 @@
    */
   interrupted(fingerprint: string, backendId: string): Promise<void>;
   /** Reports that a backend completed the request successfully, so the request does not crash backends. */
-  endedWell(fingerprint: string): void;
+  completed(fingerprint: string): void;
 }
--- a/packages/admission/src/quota/quota-borrower.ts
+++ b/packages/admission/src/quota/quota-borrower.ts
@@ -14,7 +14,7 @@
 /** Sends requests to the home node; resolves to undefined if it does not answer. */
 export type SendLoanRequests = (requests: readonly LoanRequest[]) => Promise<readonly Loan[] | undefined>;
 
-export interface QuotaWalletOptions {
+export interface QuotaBorrowerOptions {
   readonly clock: Clock;
   readonly rules: QuotaRules;
   readonly borrow: SendLoanRequests;
@@ -25,7 +25,7 @@
   /** Whether nothing is admitted while the home is unreachable, however large this node's share is. */
   readonly needsHome?: boolean;
   /** Called for each decision made locally because the home is unreachable. */
-  readonly onAlone?: (subject: string, decision: QuotaDecision) => void;
+  readonly onLocalDecision?: (subject: string, decision: QuotaDecision) => void;
 }
 
 /** Requests that arrive within this time are sent to the home together. */
@@ -76,14 +76,14 @@
  * the home, and some in advance for subjects with frequent requests. While the home is unreachable, it
  * decides locally by this node's share of the rate as the home last set it.
  */
-export class QuotaWallet implements QuotaGate {
-  readonly #options: QuotaWalletOptions;
+export class QuotaBorrower implements QuotaGate {
+  readonly #options: QuotaBorrowerOptions;
   readonly #accounts = new LRUCache<string, Account>({ max: MAX_SUBJECTS });
   #isBatchScheduled = false;
   #isBorrowing = false;
   #skipHomeUntilMs = -Infinity;
 
-  constructor(options: QuotaWalletOptions) {
+  constructor(options: QuotaBorrowerOptions) {
     this.#options = options;
   }
 
@@ -212,7 +212,7 @@
     const share = account.share ?? this.#options.defaultShare();
     for (const { units, decide } of waiting) {
       const decision = this.#localDecision(account, units, rule, share);
-      this.#options.onAlone?.(subject, decision);
+      this.#options.onLocalDecision?.(subject, decision);
       decide(decision);
     }
   }
--- a/packages/admission/src/quota/quota-lender.ts
+++ b/packages/admission/src/quota/quota-lender.ts
@@ -67,7 +67,7 @@
   reservedUntilMs: number;
 }
 
-export interface QuotaLedgerOptions {
+export interface QuotaLenderOptions {
   readonly clock: Clock;
   readonly rules: QuotaRules;
   /**
@@ -80,7 +80,7 @@
    * Nodes that became unreachable without leaving properly. They may still be running on their own share of
    * the rate.
    */
-  readonly outOfSight: () => ReadonlySet<string>;
+  readonly unreachableNodes: () => ReadonlySet<string>;
 }
 
 /**
@@ -88,13 +88,13 @@
  * with their share of the rate. That share is withheld here meanwhile, so that all nodes together stay within
  * the rule.
  */
-export class QuotaLedger {
-  readonly #options: QuotaLedgerOptions;
+export class QuotaLender {
+  readonly #options: QuotaLenderOptions;
   readonly #accounts = new LRUCache<string, Account>({ max: MAX_SUBJECTS });
   /** All units used since this time were lent here. */
   readonly #startedMs: number;
 
-  constructor(options: QuotaLedgerOptions) {
+  constructor(options: QuotaLenderOptions) {
     this.#options = options;
     this.#startedMs = options.clock.now();
   }
@@ -179,7 +179,7 @@
    * reports: it lends only the sum of the shares that the previous home had set for the nodes that ask here.
    */
   #reachableShare(account: Account, nowMs: number): number {
-    const unreachable = this.#options.outOfSight();
+    const unreachable = this.#options.unreachableNodes();
     for (const [id, { atMs }] of account.demands) {
       if (!unreachable.has(id) && nowMs - atMs > DEMAND_TTL_MS) account.demands.delete(id);
     }
--- a/packages/admission/src/quota/quota-shares.ts
+++ b/packages/admission/src/quota/quota-shares.ts
@@ -12,7 +12,7 @@
    */
   readonly share: (subject: string, demandPerSecond: number) => number;
   /** Fraction of the burst that is available at the start. */
-  readonly firstFill: number;
+  readonly initialBurstFraction: number;
 }
 
 /**
@@ -54,8 +54,11 @@
   #account(subject: string, burst: number): { readonly bucket: UnitBucket; readonly demand: DemandRate } {
     let account = this.#accounts.get(subject);
     if (account === undefined) {
-      const { clock, firstFill } = this.#options;
-      account = { bucket: new UnitBucket(clock, burst * firstFill), demand: new DemandRate(clock) };
+      const { clock, initialBurstFraction } = this.#options;
+      account = {
+        bucket: new UnitBucket(clock, burst * initialBurstFraction),
+        demand: new DemandRate(clock),
+      };
       this.#accounts.set(subject, account);
     }
     return account;
--- a/packages/admission/test/quarantine-threshold.test.ts
+++ b/packages/admission/test/quarantine-threshold.test.ts
@@ -9,7 +9,7 @@
  */
 import { Random, VirtualClock } from '@canvasridge/clock';
 import test from 'ava';
-import { InterruptionLedger } from '../src/index.js';
+import { InterruptionHistory } from '../src/index.js';
 
 const ENGINES = 6;
 const PER_SECOND = 30;
@@ -38,7 +38,7 @@
 class FleetSimulation {
   readonly clock = new VirtualClock();
   readonly #random: Random;
-  readonly #ledger: InterruptionLedger;
+  readonly #history: InterruptionHistory;
   readonly #threshold: number;
   readonly #quarantined = new Set<string>();
   readonly #engines = Array.from({ length: ENGINES }, (_, index) => ({
@@ -56,7 +56,7 @@
   constructor(threshold: number, seed: number) {
     this.#threshold = threshold;
     this.#random = new Random(seed);
-    this.#ledger = new InterruptionLedger(this.clock);
+    this.#history = new InterruptionHistory(this.clock);
     void this.#sendRequests();
     void this.#crashLoop();
     for (const engine of this.#engines) void this.#crashByItself(engine);
@@ -127,7 +127,7 @@
 
   #interrupted(fingerprint: string, engine: { readonly id: string; readonly starts: number }): void {
     if (this.#quarantined.has(fingerprint)) return;
-    if (this.#ledger.note(fingerprint, `${engine.id}/${engine.starts}`) < this.#threshold) return;
+    if (this.#history.record(fingerprint, `${engine.id}/${engine.starts}`) < this.#threshold) return;
     this.#quarantined.add(fingerprint);
     if (fingerprint !== 'ending') this.wronglyQuarantined += 1;
   }
--- a/packages/admission/test/quarantine.test.ts
+++ b/packages/admission/test/quarantine.test.ts
@@ -4,32 +4,32 @@
  */
 import { VirtualClock } from '@canvasridge/clock';
 import test from 'ava';
-import { INTERRUPTION_MS, InterruptionLedger, QUARANTINE_MS, QuarantineList } from '../src/index.js';
+import { INTERRUPTION_WINDOW_MS, InterruptionHistory, QUARANTINE_MS, QuarantineList } from '../src/index.js';
 
 test('each backend that fails while running a request is counted once', (t) => {
-  const ledger = new InterruptionLedger(new VirtualClock());
-  t.is(ledger.note('f', 'a'), 1);
-  t.is(ledger.note('f', 'a'), 1);
-  t.is(ledger.note('f', 'b'), 2);
-  t.is(ledger.note('g', 'c'), 1);
-  t.is(ledger.note('f', 'c'), 3);
+  const history = new InterruptionHistory(new VirtualClock());
+  t.is(history.record('f', 'a'), 1);
+  t.is(history.record('f', 'a'), 1);
+  t.is(history.record('f', 'b'), 2);
+  t.is(history.record('g', 'c'), 1);
+  t.is(history.record('f', 'c'), 3);
 });
 
 test('interruptions outside the time window do not count', async (t) => {
   const clock = new VirtualClock();
-  const ledger = new InterruptionLedger(clock);
-  ledger.note('f', 'a');
-  ledger.note('f', 'b');
-  await clock.runUntil(INTERRUPTION_MS + 1);
-  t.is(ledger.note('f', 'c'), 1);
+  const history = new InterruptionHistory(clock);
+  history.record('f', 'a');
+  history.record('f', 'b');
+  await clock.runUntil(INTERRUPTION_WINDOW_MS + 1);
+  t.is(history.record('f', 'c'), 1);
 });
 
 test('beyond the maximum of tracked requests, those interrupted least recently are dropped', (t) => {
-  const ledger = new InterruptionLedger(new VirtualClock());
-  ledger.note('first', 'a');
-  for (let index = 0; index < 5000; index += 1) ledger.note(`f${index}`, 'a');
-  t.is(ledger.note('first', 'b'), 1);
-  t.is(ledger.note('f4999', 'b'), 2);
+  const history = new InterruptionHistory(new VirtualClock());
+  history.record('first', 'a');
+  for (let index = 0; index < 5000; index += 1) history.record(`f${index}`, 'a');
+  t.is(history.record('first', 'b'), 1);
+  t.is(history.record('f4999', 'b'), 2);
 });
 
 test('a quarantine ends after its time, also on a node that learned of it from another node', async (t) => {
--- a/packages/admission/test/quota-simulation.ts
+++ b/packages/admission/test/quota-simulation.ts
@@ -1,5 +1,5 @@
 import { Random, VirtualClock } from '@canvasridge/clock';
-import { QuotaLedger, QuotaShares, QuotaWallet, type QuotaGate, type QuotaRule } from '../src/index.js';
+import { QuotaLender, QuotaShares, QuotaBorrower, type QuotaGate, type QuotaRule } from '../src/index.js';
 
 /** How the nodes of a fleet enforce a common quota. */
 export type Strategy = 'even shares' | 'shares by demand' | 'loans of a home';
@@ -67,7 +67,7 @@
   readonly #admitted: TimedRequest[] = [];
   readonly #decided: (TimedRequest & { readonly admitted: boolean })[] = [];
   #gates: QuotaGate[] = [];
-  #lenders: (QuotaLedger | undefined)[] = [];
+  #lenders: (QuotaLender | undefined)[] = [];
   #messages = 0;
   #bytes = 0;
   #cutFromMs = Infinity;
@@ -121,7 +121,7 @@
       const shares: QuotaShares = new QuotaShares({
         clock: this.#clock,
         rules: () => RULE,
-        firstFill: isFirst ? 1 : 0,
+        initialBurstFraction: isFirst ? 1 : 0,
         share: (_, demand) => (strategy === 'even shares' ? 1 / nodes : this.#shareByDemand(node, demand)),
       });
       return shares;
@@ -156,8 +156,8 @@
 
   // --- loans of a home node ----------------------------------------------------------------------
 
-  #newBorrower(node: number): QuotaWallet {
-    return new QuotaWallet({
+  #newBorrower(node: number): QuotaBorrower {
+    return new QuotaBorrower({
       clock: this.#clock,
       rules: () => RULE,
       defaultShare: () => 1 / this.#options.nodes,
@@ -176,11 +176,11 @@
     });
   }
 
-  #lender(home: number): QuotaLedger {
-    this.#lenders[home] ??= new QuotaLedger({
+  #lender(home: number): QuotaLender {
+    this.#lenders[home] ??= new QuotaLender({
       clock: this.#clock,
       rules: () => RULE,
-      outOfSight: () => this.#unreachableFrom(home),
+      unreachableNodes: () => this.#unreachableFrom(home),
     });
     return this.#lenders[home];
   }
--- a/packages/clock/src/event-loop-times.ts
+++ b/packages/clock/src/event-loop-times.ts
@@ -5,7 +5,7 @@
  * event loop reads sockets before it runs timers, so data that arrived before one of the timers ran has been
  * handled by then.
  */
-export class LoopTurns {
+export class EventLoopTimes {
   readonly #clock: Clock;
   readonly #periodMs: number;
   #lastRunMs: number;
@@ -26,7 +26,7 @@
    * one may be the first after the process was held up, when the data that arrived meanwhile was not read
    * yet.
    */
-  get cameAfterMs(): number {
+  get arrivedAfterMs(): number {
     return this.#previousRunMs;
   }
 
--- a/packages/clock/src/index.ts
+++ b/packages/clock/src/index.ts
@@ -7,5 +7,5 @@
 export { Random, hashSeed } from './random.js';
 export { jittered, Backoff, type BackoffOptions } from './backoff.js';
 export { Notifier } from './notifier.js';
-export { LoopTurns } from './event-loop-times.js';
+export { EventLoopTimes } from './event-loop-times.js';
 export { SuspendableClock } from './suspendable-clock.js';
--- a/packages/gateway/src/backends/backend-availability.ts
+++ b/packages/gateway/src/backends/backend-availability.ts
@@ -76,7 +76,7 @@
    */
   backendsToAvoid(service: string): readonly string[] {
     const { fleet, backoffs } = this.#options;
-    const departures = fleet.unlistedDepartures(service);
+    const departures = fleet.leavingBackendsListedReady(service);
     const backingOff = backoffs.active();
     // Fast path: this runs for each request, and nearly always no backend is backing off.
     if (backingOff.length === 0) return departures;
--- a/packages/gateway/src/backends/backend-notices.ts
+++ b/packages/gateway/src/backends/backend-notices.ts
@@ -59,7 +59,7 @@
     this.#log(backendId, notice);
     // The backend list would report this later, and not at all while the store is down: without this,
     // requests went on to such a backend for 11 s.
-    if (notice.isLeaving) this.#options.fleet.noteAnnounced(backendId, 'answer');
+    if (notice.isLeaving) this.#options.fleet.recordAnnouncedShutdown(backendId, 'answer');
   }
 
   #handleRateLimit(
--- a/packages/gateway/src/backends/slot-picker.ts
+++ b/packages/gateway/src/backends/slot-picker.ts
@@ -125,7 +125,7 @@
    */
   #hasLeftList({ backendId, entryEra, entryRevision }: SlotDecision & { kind: 'granted' }): boolean {
     if (this.#fleet.backend(backendId) !== undefined || entryRevision === undefined) return false;
-    return this.#fleet.backendsReach({ era: entryEra, revision: entryRevision });
+    return this.#fleet.hasBackendsAsOf({ era: entryEra, revision: entryRevision });
   }
 
   /** The granted engine. The leader may know an engine that is not listed on this node yet. */
--- a/packages/gateway/src/cluster/configuration-freshness.ts
+++ b/packages/gateway/src/cluster/configuration-freshness.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '@canvasridge/clock';
-import { RETURN_WINDOW_MS, type FleetState } from '@canvasridge/serving';
+import { STORE_RETURN_WINDOW_MS, type FleetState } from '@canvasridge/serving';
 
 /** What a node tells others about the configuration that it has in force. */
 export interface AdvertisedConfiguration {
@@ -76,7 +76,7 @@
   /** Whether the store may have accepted a version newer than this one, and lost it. */
   #mayBeLost(version: number, asOfMs: number): boolean {
     if (version > this.#versionAtNewEra || asOfMs < this.#newEraMs) return false;
-    return this.#clock.now() - this.#newEraMs < RETURN_WINDOW_MS;
+    return this.#clock.now() - this.#newEraMs < STORE_RETURN_WINDOW_MS;
   }
 
   /** What this node tells others. The age is absent if it was never known. */
--- a/packages/gateway/src/cluster/fleet-quarantine.ts
+++ b/packages/gateway/src/cluster/fleet-quarantine.ts
@@ -1,6 +1,6 @@
 import {
-  INTERRUPTION_MS,
-  InterruptionLedger,
+  INTERRUPTION_WINDOW_MS,
+  InterruptionHistory,
   QuarantineList,
   type QuarantineGate,
   type QuarantinedRequest,
@@ -108,7 +108,7 @@
 export class FleetQuarantine implements QuarantineGate {
   readonly #options: FleetQuarantineOptions;
   /** Interruptions that this node has counted as a home. */
-  #ledger: InterruptionLedger;
+  #history: InterruptionHistory;
   readonly #list: QuarantineList;
   /** Oldest first. */
   #localInterruptions: LocalInterruption[] = [];
@@ -121,7 +121,7 @@
 
   constructor(options: FleetQuarantineOptions) {
     this.#options = options;
-    this.#ledger = new InterruptionLedger(options.clock);
+    this.#history = new InterruptionHistory(options.clock);
     this.#list = new QuarantineList(options.clock);
   }
 
@@ -149,7 +149,7 @@
     await Promise.race([this.#reporting, clock.sleep(HOME_ANSWER_WAIT_MS)]);
   }
 
-  endedWell(fingerprint: string): void {
+  completed(fingerprint: string): void {
     if (!this.#suspects.has(fingerprint)) return;
     this.#suspects = new Set([...this.#suspects].filter((suspect) => suspect !== fingerprint));
     this.#localInterruptions = this.#localInterruptions.filter(
@@ -165,7 +165,7 @@
   }
 
   answerEndedWell({ fingerprint }: EndedWellParams): true {
-    this.#ledger.forget(fingerprint);
+    this.#history.forget(fingerprint);
     return true;
   }
 
@@ -182,7 +182,7 @@
   /** Call it when another node has published its list, and about once a second. */
   update(): void {
     this.#setHome(this.#isHome());
-    const suspects = this.#ledger.suspects(SUSPECT_THRESHOLD);
+    const suspects = this.#history.suspects(SUSPECT_THRESHOLD);
     for (const published of this.#options.cluster.quarantines()) {
       for (const request of published.quarantined) this.#add(request, 'peer');
       suspects.push(...published.suspects);
@@ -197,8 +197,8 @@
     if (isHome === this.#actsAsHome) return;
     this.#actsAsHome = isHome;
     // A node that is no home does not receive which requests completed, so each period as home starts with an
-    // empty ledger.
-    this.#ledger = new InterruptionLedger(this.#options.clock);
+    // empty history.
+    this.#history = new InterruptionHistory(this.#options.clock);
     if (isHome)
       for (const { fingerprint, backend } of this.#localInterruptions) this.#count(fingerprint, backend);
   }
@@ -224,7 +224,9 @@
   /** Each promise resolves when its home has answered, and rejects if it has not. */
   #reportToHomes(): Promise<void>[] {
     const nowMs = this.#options.clock.now();
-    this.#localInterruptions = this.#localInterruptions.filter(({ atMs }) => nowMs - atMs <= INTERRUPTION_MS);
+    this.#localInterruptions = this.#localInterruptions.filter(
+      ({ atMs }) => nowMs - atMs <= INTERRUPTION_WINDOW_MS,
+    );
     return this.#otherHomes().map((id) => this.#reportTo(id));
   }
 
@@ -248,8 +250,8 @@
 
   #count(fingerprint: string, backend: string): void {
     if (this.#list.remainingMs(fingerprint) !== undefined) return;
-    if (this.#ledger.note(fingerprint, backend) < QUARANTINE_THRESHOLD) return;
-    this.#ledger.forget(fingerprint);
+    if (this.#history.record(fingerprint, backend) < QUARANTINE_THRESHOLD) return;
+    this.#history.forget(fingerprint);
     this.#add({ fingerprint, ageMs: 0 }, 'counted');
     this.#publish();
   }
@@ -268,7 +270,7 @@
   #publish(): void {
     const { clock, cluster } = this.#options;
     const quarantined = this.#list.entries();
-    const suspects = this.#ledger.suspects(SUSPECT_THRESHOLD).slice(0, MAX_SUSPECTS);
+    const suspects = this.#history.suspects(SUSPECT_THRESHOLD).slice(0, MAX_SUSPECTS);
     const fingerprints = quarantined.map(({ fingerprint }) => fingerprint);
     // The comparison keeps the two lists apart: a request that moves from suspected to quarantined is a
     // change.
--- a/packages/gateway/src/cluster/fleet-quotas.ts
+++ b/packages/gateway/src/cluster/fleet-quotas.ts
@@ -1,6 +1,6 @@
 import {
-  QuotaLedger,
-  QuotaWallet,
+  QuotaLender,
+  QuotaBorrower,
   type Loan,
   type LoanRequest,
   type QuotaDecision,
@@ -149,9 +149,9 @@
  */
 export class FleetQuotas {
   readonly #options: FleetQuotasOptions;
-  readonly #wallets = new Map<number, QuotaWallet>();
+  readonly #borrowers = new Map<number, QuotaBorrower>();
   /** By group, for the groups whose home this node is. */
-  readonly #ledgers = new Map<number, QuotaLedger>();
+  readonly #lenders = new Map<number, QuotaLender>();
   #decisionsWithoutHome = 0;
 
   constructor(options: FleetQuotasOptions) {
@@ -161,28 +161,28 @@
   /** Call it about once a second: starts and ends being the home of groups according to the ranking. */
   update(): void {
     for (let group = 0; group < this.#groups(); group += 1) {
-      if (this.#homeOf(group) === this.#options.cluster.selfId) this.#ledger(group);
+      if (this.#homeOf(group) === this.#options.cluster.selfId) this.#lender(group);
     }
-    for (const group of this.#ledgers.keys()) {
+    for (const group of this.#lenders.keys()) {
       // What another home lends meanwhile is not known here, so a later period as home starts with a new
-      // ledger.
-      if (this.#homeOf(group) !== this.#options.cluster.selfId) this.#ledgers.delete(group);
+      // lender.
+      if (this.#homeOf(group) !== this.#options.cluster.selfId) this.#lenders.delete(group);
     }
     this.#reportDecisionsWithoutHome();
   }
 
   admit(subject: string, units: number): Promise<QuotaDecision> {
-    return this.#wallet(subject).admit(subject, units);
+    return this.#borrower(subject).admit(subject, units);
   }
 
   giveBack(subject: string, units: number): void {
-    this.#wallet(subject).giveBack(subject, units);
+    this.#borrower(subject).giveBack(subject, units);
   }
 
   /** Answers a node that considers this one the home of a group. */
   answer({ node, group, requests }: BorrowParams): BorrowReply {
     if (this.#homeOf(group) !== this.#options.cluster.selfId) return null;
-    return this.#ledger(group).lend(node, requests);
+    return this.#lender(group).lend(node, requests);
   }
 
   #groups(): number {
@@ -193,31 +193,31 @@
     return this.#options.cluster.candidates(`${this.#options.kind.name}-${group}`)[0];
   }
 
-  #wallet(subject: string): QuotaWallet {
+  #borrower(subject: string): QuotaBorrower {
     const group = hashSeed(subject) % this.#groups();
-    let wallet = this.#wallets.get(group);
-    if (wallet === undefined) {
+    let borrower = this.#borrowers.get(group);
+    if (borrower === undefined) {
       const { clock, rules, fleetShare, kind } = this.#options;
-      wallet = new QuotaWallet({
+      borrower = new QuotaBorrower({
         clock,
         rules,
         tellsRules: kind.tellsRules,
         needsHome: kind.needsHome,
         borrow: (requests) => this.#borrow(group, requests),
         defaultShare: fleetShare,
-        onAlone: () => {
+        onLocalDecision: () => {
           this.#decisionsWithoutHome += 1;
         },
       });
-      this.#wallets.set(group, wallet);
+      this.#borrowers.set(group, borrower);
     }
-    return wallet;
+    return borrower;
   }
 
   async #borrow(group: number, requests: readonly LoanRequest[]): Promise<readonly Loan[] | undefined> {
     const { cluster, network, kind } = this.#options;
     const home = this.#homeOf(group);
-    if (home === cluster.selfId) return this.#ledger(group).lend(cluster.selfId, requests);
+    if (home === cluster.selfId) return this.#lender(group).lend(cluster.selfId, requests);
     const address = home === undefined ? undefined : cluster.peerAddress(home);
     if (address === undefined) return undefined;
     const params: BorrowParams = { node: cluster.selfId, group, requests };
@@ -225,20 +225,20 @@
     return (reply as BorrowReply | undefined) ?? undefined;
   }
 
-  #ledger(group: number): QuotaLedger {
-    let ledger = this.#ledgers.get(group);
-    if (ledger === undefined) {
+  #lender(group: number): QuotaLender {
+    let lender = this.#lenders.get(group);
+    if (lender === undefined) {
       const { clock, rules, cluster, telemetry, kind } = this.#options;
-      ledger = new QuotaLedger({
+      lender = new QuotaLender({
         clock,
         rules: kind.tellsRules ? () => undefined : rules,
         retries: kind.retries,
-        outOfSight: () => new Set(cluster.lostMembers()),
+        unreachableNodes: () => new Set(cluster.lostMembers()),
       });
-      this.#ledgers.set(group, ledger);
+      this.#lenders.set(group, lender);
       telemetry.event('info', `${kind.name}.home`, String(group), { home: cluster.selfId });
     }
-    return ledger;
+    return lender;
   }
 
   /** Logs at most one line a second, and only while decisions are made without a home. */
--- a/packages/gateway/src/cluster/peer-uses.ts
+++ b/packages/gateway/src/cluster/peer-uses.ts
@@ -10,7 +10,7 @@
 export class PeerUses {
   readonly #byPeer = new Map<PeerConnection, Map<string, PeerUse>>();
 
-  note(peer: PeerConnection, pool: string, requestId: string): void {
+  record(peer: PeerConnection, pool: string, requestId: string): void {
     const uses = this.#byPeer.get(peer) ?? new Map<string, PeerUse>();
     uses.set(requestId, { pool, requestId });
     this.#byPeer.set(peer, uses);
--- a/packages/gateway/src/cluster/slot-answers.ts
+++ b/packages/gateway/src/cluster/slot-answers.ts
@@ -41,7 +41,7 @@
     const pool = entry?.pool;
     if (entry?.leading !== true || pool === undefined) return { kind: 'not-leader' };
     const { id: requestId } = params.request;
-    this.#peerUses.note(peer, params.pool, requestId);
+    this.#peerUses.record(peer, params.pool, requestId);
     let immediate: SlotDecision | undefined;
     let answered = false;
     pool.acquire(params.request, (decision) => {
@@ -82,7 +82,7 @@
     if (entry === undefined || adopting === undefined) return;
     entry.reportedMembers.add(member);
     for (const use of uses) {
-      this.#peerUses.note(peer, pool, use.requestId);
+      this.#peerUses.record(peer, pool, use.requestId);
       adopting.adoptUse(use);
     }
     this.checkUsesKnown(entry);
@@ -105,7 +105,8 @@
   }
 
   onRelease(params: ReleaseParams, peer: PeerConnection): void {
-    if (typeof params.leaving === 'string') this.#options.fleet.noteAnnounced(params.leaving, 'peer');
+    if (typeof params.leaving === 'string')
+      this.#options.fleet.recordAnnouncedShutdown(params.leaving, 'peer');
     this.#peerUses.forget(peer, params.requestId);
     this.#pools.get(params.pool)?.pool?.release(params.requestId, params.outcome);
   }
--- a/packages/gateway/src/cluster/slot-service.ts
+++ b/packages/gateway/src/cluster/slot-service.ts
@@ -280,8 +280,8 @@
     const { fleet } = this.#options;
     const isNews =
       backendId !== undefined &&
-      fleet.hasAnnounced(backendId) &&
-      fleet.unlistedDepartures(poolName).includes(backendId);
+      fleet.hasAnnouncedShutdown(backendId) &&
+      fleet.leavingBackendsListedReady(poolName).includes(backendId);
     // Without this the leader keeps ordering adapters onto that engine for other nodes until each of them has
     // been told.
     const leaving = isNews ? { leaving: backendId } : {};
--- a/packages/gateway/src/cluster/state-exchange.ts
+++ b/packages/gateway/src/cluster/state-exchange.ts
@@ -128,10 +128,10 @@
   const { era } = known;
   const hasOperatorNews =
     fleet.operatorDigest !== known.operatorDigest &&
-    fleet.operatorReaches({ era, revision: known.operatorRevision });
+    fleet.hasOperatorStateAsOf({ era, revision: known.operatorRevision });
   const hasBackendNews =
     fleet.routingDigest !== known.routingDigest &&
-    fleet.backendsReach({ era, revision: known.backendsRevision });
+    fleet.hasBackendsAsOf({ era, revision: known.backendsRevision });
   if ((!hasOperatorNews && !hasBackendNews) || !maySendLarge(waiting)) return configuration;
   return { ...configuration, snapshot: { ...fleet.snapshot(), configuration: undefined } };
 }
--- a/packages/gateway/src/cluster/state-follower.ts
+++ b/packages/gateway/src/cluster/state-follower.ts
@@ -181,10 +181,10 @@
     if (!maySendLarge(waiting)) return { era, backendsRevision, ...configuration, withheld: true };
     const hasListing =
       fleet.routingDigest !== known.routingDigest &&
-      fleet.backendsReach({ era: known.era, revision: known.backendsRevision });
+      fleet.hasBackendsAsOf({ era: known.era, revision: known.backendsRevision });
     const hasOperatorState =
       fleet.operatorDigest !== known.operatorDigest &&
-      fleet.operatorReaches({ era: known.era, revision: known.operatorRevision });
+      fleet.hasOperatorStateAsOf({ era: known.era, revision: known.operatorRevision });
     const ageMs = clock.now() - this.#storeAnsweredMs;
     return {
       ...(this.#reading && Number.isFinite(ageMs) ? { ageMs: Math.ceil(ageMs) } : {}),
@@ -346,7 +346,7 @@
     const isBehind = known.era === fleet.era && backendsRevision < known.backendsRevision;
     if (listing !== undefined) fleet.applyListing(listing);
     // A reader that is not behind and sends no list holds the same one.
-    else if (!isBehind) fleet.confirmBackends(backendsRevision);
+    else if (!isBehind) fleet.advanceBackendsRevision(backendsRevision);
     if (answer.ageMs !== undefined) this.#completeMs = Math.max(this.#completeMs, askedMs - answer.ageMs);
   }
 
--- a/packages/gateway/src/request/request-quarantine.ts
+++ b/packages/gateway/src/request/request-quarantine.ts
@@ -50,7 +50,7 @@
   async attemptEnded(backendId: string, attempt: BackendAttempt, outcome: AttemptOutcome): Promise<void> {
     const { quarantine } = this.#context;
     // A failure does not clear a request: a backend may fail before it has run the request.
-    if (outcome.kind === 'complete' && !quarantine.isEmpty) quarantine.endedWell(this.#fingerprint);
+    if (outcome.kind === 'complete' && !quarantine.isEmpty) quarantine.completed(this.#fingerprint);
     if (outcome.kind === 'broken') await this.#interrupted(backendId, attempt, outcome);
   }
 
--- a/packages/gateway/test/fleet-quarantine.test.ts
+++ b/packages/gateway/test/fleet-quarantine.test.ts
@@ -178,7 +178,7 @@
     void fleet.nodes.get('n7')?.interrupted('polled', `i${round}a`);
     void fleet.nodes.get('n8')?.interrupted('polled', `i${round}b`);
     await fleet.run(KNOWN_WITHIN_MS);
-    fleet.nodes.get('n9')?.endedWell('polled');
+    fleet.nodes.get('n9')?.completed('polled');
     await fleet.run(KNOWN_WITHIN_MS);
   }
   t.is(fleet.unaware('polled').length, 12, 'all nodes send it');
@@ -211,12 +211,12 @@
   const fleet = new QuarantineFleet(12, 0, 7);
   await fleet.run(SETTLED_MS);
   for (let second = 0; second < 5; second += 1) {
-    for (const node of fleet.nodes.values()) node.endedWell('common');
+    for (const node of fleet.nodes.values()) node.completed('common');
     await fleet.run(1000);
   }
   for (const [index, id] of ['n7', 'n8', 'n9'].entries())
     void fleet.nodes.get(id)?.interrupted('common', `i${index}`);
-  for (const id of ['n3', 'n4', 'n5']) fleet.nodes.get(id)?.endedWell('common');
+  for (const id of ['n3', 'n4', 'n5']) fleet.nodes.get(id)?.completed('common');
   await fleet.run(KNOWN_WITHIN_MS);
   t.is(fleet.unaware('common').length, 12);
 });
--- a/packages/gateway/test/followed-fleet.ts
+++ b/packages/gateway/test/followed-fleet.ts
@@ -1,5 +1,5 @@
 import { VirtualClock } from '@canvasridge/clock';
-import { BackendLapses, FleetState, type BackendDescription } from '@canvasridge/serving';
+import { BackendListUpdater, FleetState, type BackendDescription } from '@canvasridge/serving';
 import { StateFollower } from '../src/index.js';
 import { BARE_CONFIGURATION, NOTHING_WAITS, followerOptions } from './follower-options.js';
 
@@ -28,7 +28,7 @@
 /** A node that reads the store. */
 class Reader {
   readonly state = new FleetState();
-  readonly lapses: BackendLapses;
+  readonly listUpdater: BackendListUpdater;
   /** Whether the store is reachable; if not, the node does not notice until its calls time out. */
   connected = true;
   /** How long an answer of the store waits until the node has processor time to process it. */
@@ -39,12 +39,12 @@
     clock: VirtualClock,
     readonly node: (state: FleetState) => StateFollower,
   ) {
-    this.lapses = new BackendLapses({
+    this.listUpdater = new BackendListUpdater({
       fleet: this.state,
       clock,
       heartbeatMs: HEARTBEAT_MS,
       listAgeMs: () => this.follower.listAgeMs,
-      onHeld: () => undefined,
+      onRemovalDeferred: () => undefined,
       onListedAgain: () => undefined,
     });
     this.state.applyConfiguration(BARE_CONFIGURATION);
@@ -56,13 +56,13 @@
   /** Applies an answer that the store made at this time. */
   read(events: readonly StoreEvent[], asOfMs: number): void {
     if (!this.connected) return;
-    this.lapses.beginUpdate();
+    this.listUpdater.beginUpdate();
     for (const event of events.filter(({ revision }) => revision > this.#revision)) {
-      if (event.value === undefined) this.lapses.remove(event.revision, event.id);
+      if (event.value === undefined) this.listUpdater.remove(event.revision, event.id);
       else this.state.applyBackend(event.revision, event.value);
       this.#revision = event.revision;
     }
-    this.state.confirmBackends(this.#revision);
+    this.state.advanceBackendsRevision(this.#revision);
     this.follower.onStoreAnswered(asOfMs);
   }
 }
--- a/packages/gateway/test/harness.ts
+++ b/packages/gateway/test/harness.ts
@@ -216,7 +216,7 @@
       clock,
       rules: (id) => rateLimits.rule(id),
       share: () => 1,
-      firstFill: 0,
+      initialBurstFraction: 0,
     });
     const rateLimits: BackendRateLimits = new BackendRateLimits({
       clock,
@@ -271,7 +271,7 @@
         isEmpty: true,
         remainingMs: () => undefined,
         interrupted: () => Promise.resolve(),
-        endedWell: () => undefined,
+        completed: () => undefined,
       },
       quotas: {
         admit: (subject, units) => this.admit(subject, units),
--- a/packages/gateway/test/limited-fleet.ts
+++ b/packages/gateway/test/limited-fleet.ts
@@ -103,7 +103,7 @@
       clock,
       rules: (backendId) => limits.rule(backendId),
       share: () => share,
-      firstFill: 0,
+      initialBurstFraction: 0,
     });
     this.nodes.set(id, { id, limits, rates, ranking });
   }
--- a/packages/gateway/test/linked-fleet.ts
+++ b/packages/gateway/test/linked-fleet.ts
@@ -125,7 +125,7 @@
     await this.#clock.sleep(index);
     for (;;) {
       state.applyConfiguration(this.#published);
-      state.confirmOperatorState(this.#published.version);
+      state.advanceOperatorRevision(this.#published.version);
       follower.onStoreAnswered(this.#clock.now());
       await this.#clock.sleep(READ_PERIOD_MS);
     }
--- a/packages/gateway/test/peer-messages.ts
+++ b/packages/gateway/test/peer-messages.ts
@@ -20,7 +20,7 @@
   const fleet = new FleetState();
   fleet.applyConfiguration(BARE_CONFIGURATION);
   fleet.applyAdapterVersion({ model: 'base', adapter: 'a1', version: 2 });
-  fleet.confirmOperatorState(8);
+  fleet.advanceOperatorRevision(8);
   fleet.replaceBackends(10, [
     { revision: 5, value: backend('e1', 'ready') },
     { revision: 9, value: backend('e2', 'draining') },
--- a/packages/gateway/test/request-quarantine.test.ts
+++ b/packages/gateway/test/request-quarantine.test.ts
@@ -3,7 +3,7 @@
  * count such crashes.
  *
  * A response that a backend gives by itself, including an error before it has run anything, was taken for a
- * run that ended well, and the crashes counted so far were forgotten. Only a complete success shows that a
+ * run that completed, and the crashes counted so far were forgotten. Only a complete success shows that a
  * request does not crash its backend.
  */
 import { SystemClock } from '@canvasridge/clock';
@@ -22,7 +22,7 @@
     isEmpty: false,
     remainingMs: () => undefined,
     interrupted: () => Promise.resolve(),
-    endedWell: () => {
+    completed: () => {
       isCleared = true;
     },
   };
--- a/packages/gateway/test/restored-fleet.ts
+++ b/packages/gateway/test/restored-fleet.ts
@@ -1,5 +1,5 @@
 import type { Random, VirtualClock } from '@canvasridge/clock';
-import { BackendLapses, FleetState, type BackendDescription, type Revised } from '@canvasridge/serving';
+import { BackendListUpdater, FleetState, type BackendDescription, type Revised } from '@canvasridge/serving';
 import { StateFollower } from '../src/index.js';
 import { BARE_CONFIGURATION, NOTHING_WAITS, followerOptions } from './follower-options.js';
 
@@ -102,7 +102,7 @@
 export class RestoredNode {
   readonly state = new FleetState();
   readonly follower: StateFollower;
-  readonly #lapses: BackendLapses;
+  readonly #listUpdater: BackendListUpdater;
   readonly #clock: VirtualClock;
   readonly #store: RestoredStore;
   #position: { readonly era: number; revision: number } | undefined;
@@ -129,12 +129,12 @@
         answer: (address, known) => nodes[ids.indexOf(address)]?.follower.answer(known, NOTHING_WAITS),
       }),
     );
-    this.#lapses = new BackendLapses({
+    this.#listUpdater = new BackendListUpdater({
       fleet: this.state,
       clock,
       heartbeatMs: HEARTBEAT_MS,
       listAgeMs: () => this.follower.listAgeMs,
-      onHeld: () => undefined,
+      onRemovalDeferred: () => undefined,
       onListedAgain: () => undefined,
     });
     this.state.applyConfiguration(BARE_CONFIGURATION);
@@ -154,20 +154,20 @@
   #read(): void {
     const { era, revision } = this.#store;
     this.state.enterEra(era);
-    this.#lapses.beginUpdate();
+    this.#listUpdater.beginUpdate();
     if (this.#position?.era !== era) {
       this.#position = { era, revision };
-      this.#lapses.replace(revision, this.#store.entries());
+      this.#listUpdater.replace(revision, this.#store.entries());
     } else {
       for (const write of this.#store.after(this.#position.revision)) this.#apply(write);
       this.#position.revision = revision;
-      this.state.confirmBackends(revision);
+      this.state.advanceBackendsRevision(revision);
     }
     this.follower.onStoreAnswered(this.#clock.now());
   }
 
   #apply({ revision, id, value }: Write): void {
-    if (value === undefined) this.#lapses.remove(revision, id);
+    if (value === undefined) this.#listUpdater.remove(revision, id);
     else this.state.applyBackend(revision, value);
   }
 }
--- a/packages/gateway/test/slot-picker.test.ts
+++ b/packages/gateway/test/slot-picker.test.ts
@@ -132,7 +132,7 @@
 test('an engine that announced its leaving to this node is excluded from the slot request, whatever its entry says', async (t) => {
   const { picked, leader } = await pickWithFleet((fleet) => {
     listBoth(fleet);
-    fleet.noteAnnounced('leaving', 'answer');
+    fleet.recordAnnouncedShutdown('leaving', 'answer');
   });
   t.is(picked, 'stays');
   t.deepEqual(leader.released, []);
@@ -161,7 +161,7 @@
 });
 
 test('an engine whose entry is newer than the list of this node is used as the leader grants it', async (t) => {
-  const { picked } = await pickWithFleet((fleet) => fleet.confirmBackends(20), 21);
+  const { picked } = await pickWithFleet((fleet) => fleet.advanceBackendsRevision(20), 21);
   t.is(picked, 'leaving');
 });
 
--- a/packages/gateway/test/state-follower.test.ts
+++ b/packages/gateway/test/state-follower.test.ts
@@ -39,7 +39,7 @@
     const ids = Array.from({ length: count }, (_, index) => `node-${index}`);
     const reader = this.#follower(this.published, ids, ids[0] ?? '', () => undefined);
     this.published.applyConfiguration(BARE_CONFIGURATION);
-    this.published.confirmOperatorState(10);
+    this.published.advanceOperatorRevision(10);
     this.published.replaceBackends(10, [{ revision: 5, value: backend('e1', 'ready', ['a']) }]);
     this.follower = this.#follower(this.own, ids, ids.at(-1) ?? '', (address, known) => {
       this.asked.push(address);
--- a/packages/serving/src/backend-list-updater.ts
+++ b/packages/serving/src/backend-list-updater.ts
@@ -8,7 +8,7 @@
  * specification they are written again within this time after the store's return; a backend whose entry is
  * missing then is gone.
  */
-export const RETURN_WINDOW_MS = 2000;
+export const STORE_RETURN_WINDOW_MS = 2000;
 /**
  * An entry expires three heartbeats after it was last written. As that may have been almost one heartbeat
  * before the store became unavailable, an outage of two heartbeats can be enough.
@@ -24,7 +24,7 @@
   readonly leftMs: number;
 }
 
-export interface BackendLapsesOptions {
+export interface BackendListUpdaterOptions {
   readonly fleet: FleetState;
   readonly clock: Clock;
   /** Interval between two heartbeats of a backend, in milliseconds. */
@@ -32,7 +32,7 @@
   /** Time since the list was last known to be complete, in milliseconds; infinite before the first read. */
   readonly listAgeMs: () => number;
   /** Called for each removal that is deferred. */
-  readonly onHeld: (held: DeferredRemoval) => void;
+  readonly onRemovalDeferred: (removal: DeferredRemoval) => void;
   /**
    * Called with the backends that had left before the store was restored from a backup but turned out to be
    * alive.
@@ -47,8 +47,8 @@
  * a backend that had announced its shutdown is applied at once. So is every removal if the store was
  * unavailable for less time than an entry takes to expire and was not restored from a backup.
  */
-export class BackendLapses {
-  readonly #options: BackendLapsesOptions;
+export class BackendListUpdater {
+  readonly #options: BackendListUpdaterOptions;
   #storeBackMs = -Infinity;
   /**
    * Until this time, a first read may find entries as restored from the backup; later reads find only running
@@ -56,7 +56,7 @@
    */
   #restoredUntilMs = -Infinity;
 
-  constructor(options: BackendLapsesOptions) {
+  constructor(options: BackendListUpdaterOptions) {
     this.#options = options;
     options.fleet.onNewEra(({ to }) => this.#beginEra(to));
   }
@@ -73,7 +73,7 @@
 
   #beginEra(era: number): void {
     const { clock, fleet, heartbeatMs, onListedAgain } = this.#options;
-    const restoreMs = RESTORED_ENTRY_HEARTBEATS * heartbeatMs + RETURN_WINDOW_MS;
+    const restoreMs = RESTORED_ENTRY_HEARTBEATS * heartbeatMs + STORE_RETURN_WINDOW_MS;
     this.#restoredUntilMs = clock.now() + restoreMs;
     clock.setTimer(restoreMs, () => {
       if (fleet.era !== era) return;
@@ -101,19 +101,19 @@
 
   #mayHaveExpired(id: string): boolean {
     const { clock, fleet } = this.#options;
-    if (clock.now() - this.#storeBackMs > RETURN_WINDOW_MS) return false;
+    if (clock.now() - this.#storeBackMs > STORE_RETURN_WINDOW_MS) return false;
     return fleet.backend(id)?.state === 'ready';
   }
 
   /** Defers a removal. An entry that is written again meanwhile has a higher revision and is kept. */
   #deferRemoval(revision: number, id: string): void {
-    const { clock, fleet, onHeld } = this.#options;
-    const leftMs = this.#storeBackMs + RETURN_WINDOW_MS - clock.now();
+    const { clock, fleet, onRemovalDeferred } = this.#options;
+    const leftMs = this.#storeBackMs + STORE_RETURN_WINDOW_MS - clock.now();
     if (leftMs <= 0) {
       fleet.removeBackend(revision, id);
       return;
     }
-    onHeld({ id, revision, leftMs });
+    onRemovalDeferred({ id, revision, leftMs });
     const { era } = fleet;
     clock.setTimer(leftMs, () => {
       // The list of a newer era is read as a whole, which settles whether the backend is in it.
--- a/packages/serving/src/fleet-state.ts
+++ b/packages/serving/src/fleet-state.ts
@@ -136,12 +136,12 @@
   }
 
   /** Whether the list of backends here is at least as new as `point`. */
-  backendsReach(point: PublishedPoint): boolean {
+  hasBackendsAsOf(point: PublishedPoint): boolean {
     return this.#isUpToDate(this.#backendsRevision, point);
   }
 
   /** Whether the entries written by operators that are known here are at least as new as `point`. */
-  operatorReaches(point: PublishedPoint): boolean {
+  hasOperatorStateAsOf(point: PublishedPoint): boolean {
     return this.#isUpToDate(this.#operatorRevision, point);
   }
 
@@ -191,7 +191,7 @@
   }
 
   /** Called when an entry written by operators at this revision was applied. */
-  confirmOperatorState(revision: number): void {
+  advanceOperatorRevision(revision: number): void {
     this.#operatorRevision = Math.max(this.#operatorRevision, revision);
   }
 
@@ -212,7 +212,7 @@
   }
 
   /** Whether a backend has announced its shutdown itself. */
-  hasAnnounced(id: string): boolean {
+  hasAnnouncedShutdown(id: string): boolean {
     return this.#announced.has(id);
   }
 
@@ -220,12 +220,12 @@
    * Backends of a service that count as draining here although listed as ready, so that other nodes may not
    * know.
    */
-  unlistedDepartures(service: string): readonly string[] {
+  leavingBackendsListedReady(service: string): readonly string[] {
     if (this.#announced.isEmpty && !this.#departed.mayListDeparted) return [];
-    const isUnlistedDeparture = ({ id }: BackendDescription): boolean =>
+    const isListedReady = ({ id }: BackendDescription): boolean =>
       this.#isListedStateOverridden(id) && this.#backends.get(id)?.value.state === 'ready';
     return this.backendsOf(service)
-      .filter(isUnlistedDeparture)
+      .filter(isListedReady)
       .map(({ id }) => id);
   }
 
@@ -233,7 +233,7 @@
    * Called when a backend has announced its shutdown: it counts as draining from now on, whatever the list
    * says.
    */
-  noteAnnounced(id: string, via: DepartureSource): void {
+  recordAnnouncedShutdown(id: string, via: DepartureSource): void {
     if (this.#announced.has(id)) return;
     const wasLeaving = this.isLeaving(id);
     this.#announced.add(id, (known) => this.#backends.has(known));
@@ -306,7 +306,7 @@
   }
 
   /** Called when the list of backends is known to be complete as of `revision`. */
-  confirmBackends(revision: number): void {
+  advanceBackendsRevision(revision: number): void {
     this.#backendsRevision = Math.max(this.#backendsRevision, revision);
     this.#isListKnown ||= revision > 0;
   }
@@ -335,7 +335,7 @@
 
   applyOperatorState(state: OperatorState): void {
     for (const published of state.adapterVersions) this.applyAdapterVersion(published);
-    if (this.admitEra(state.era)) this.confirmOperatorState(state.revision);
+    if (this.admitEra(state.era)) this.advanceOperatorRevision(state.revision);
   }
 
   snapshot(): FleetSnapshot {
@@ -354,7 +354,7 @@
     if (snapshot.configuration !== undefined) this.applyConfiguration(snapshot.configuration);
     for (const published of snapshot.adapterVersions) this.applyAdapterVersion(published);
     if (!this.admitEra(snapshot.era)) return;
-    this.confirmOperatorState(snapshot.operatorRevision);
+    this.advanceOperatorRevision(snapshot.operatorRevision);
     this.replaceBackends(snapshot.backendsRevision, snapshot.backends);
   }
 
@@ -400,7 +400,7 @@
   }
 
   #updateIndex(revision: number): void {
-    this.confirmBackends(revision);
+    this.advanceBackendsRevision(revision);
     this.#backendsByService.clear();
     for (const { value: listed } of this.#backends.values()) {
       const value = this.#effective(listed);
--- a/packages/serving/src/index.ts
+++ b/packages/serving/src/index.ts
@@ -18,7 +18,7 @@
   type HeldAdapter,
   type HeldModel,
 } from './backend.js';
-export { BackendLapses, RETURN_WINDOW_MS, type DeferredRemoval } from './backend-list-updater.js';
+export { BackendListUpdater, STORE_RETURN_WINDOW_MS, type DeferredRemoval } from './backend-list-updater.js';
 export {
   FleetState,
   type Departure,
--- a/packages/serving/test/backend-list-updater.test.ts
+++ b/packages/serving/test/backend-list-updater.test.ts
@@ -1,6 +1,6 @@
 import { VirtualClock } from '@canvasridge/clock';
 import test from 'ava';
-import { BackendLapses, FleetState, type BackendDescription } from '../src/index.js';
+import { BackendListUpdater, FleetState, type BackendDescription } from '../src/index.js';
 
 /**
  * Time after the store's return by which expired entries are written again, and the heartbeat interval, by
@@ -21,12 +21,12 @@
   readonly clock = new VirtualClock();
   readonly fleet = new FleetState();
   completeMs = 0;
-  readonly listUpdater = new BackendLapses({
+  readonly listUpdater = new BackendListUpdater({
     fleet: this.fleet,
     clock: this.clock,
     heartbeatMs: HEARTBEAT_MS,
     listAgeMs: () => this.clock.now() - this.completeMs,
-    onHeld: () => undefined,
+    onRemovalDeferred: () => undefined,
     onListedAgain: () => undefined,
   });
 
--- a/packages/serving/test/fleet-state.test.ts
+++ b/packages/serving/test/fleet-state.test.ts
@@ -76,8 +76,8 @@
   fleet.onDeparture((departure) => departures.push(departure));
   fleet.applyBackend(10, backend('i1'));
   const { routingDigest } = fleet;
-  fleet.noteAnnounced('i1', 'answer');
-  fleet.noteAnnounced('i1', 'peer');
+  fleet.recordAnnouncedShutdown('i1', 'answer');
+  fleet.recordAnnouncedShutdown('i1', 'peer');
   t.deepEqual(departures, [{ id: 'i1', state: 'draining', revision: 10, via: 'answer' }]);
   t.true(fleet.isLeaving('i1'));
   t.is(fleet.backend('i1')?.state, 'draining');
@@ -85,17 +85,17 @@
     fleet.backendsOf('llm').map(({ state }) => state),
     ['draining'],
   );
-  t.deepEqual(fleet.unlistedDepartures('llm'), ['i1']);
+  t.deepEqual(fleet.leavingBackendsListedReady('llm'), ['i1']);
   t.is(fleet.listing().backends[0]?.value.state, 'ready');
   t.is(fleet.routingDigest, routingDigest);
   fleet.applyBackend(20, backend('i1', 'draining'));
-  t.deepEqual(fleet.unlistedDepartures('llm'), [], 'all nodes that read the list know it now');
+  t.deepEqual(fleet.leavingBackendsListedReady('llm'), [], 'all nodes that read the list know it now');
   t.is(departures.length, 1);
 });
 
 test('an announcement applies to one process: before it is listed, after its entry expired, but not after a restart', (t) => {
   const fleet = new FleetState();
-  fleet.noteAnnounced('i1', 'answer');
+  fleet.recordAnnouncedShutdown('i1', 'answer');
   fleet.applyBackend(10, backend('i1'));
   t.is(fleet.backend('i1')?.state, 'draining');
   fleet.removeBackend(20, 'i1');
@@ -111,8 +111,8 @@
 test('announcements of listed backends are kept, however many others there are', (t) => {
   const fleet = new FleetState();
   fleet.applyBackend(1, backend('listed'));
-  fleet.noteAnnounced('listed', 'answer');
-  for (let index = 0; index < 5000; index += 1) fleet.noteAnnounced(`gone-${index}`, 'answer');
+  fleet.recordAnnouncedShutdown('listed', 'answer');
+  for (let index = 0; index < 5000; index += 1) fleet.recordAnnouncedShutdown(`gone-${index}`, 'answer');
   t.true(fleet.isLeaving('listed'));
-  t.false(fleet.hasAnnounced('gone-0'), 'the number of announcements kept is bounded');
+  t.false(fleet.hasAnnouncedShutdown('gone-0'), 'the number of announcements kept is bounded');
 });
--- a/packages/serving/test/new-era.test.ts
+++ b/packages/serving/test/new-era.test.ts
@@ -1,6 +1,6 @@
 import { VirtualClock } from '@canvasridge/clock';
 import test from 'ava';
-import { BackendLapses, FleetState, type BackendDescription, type NewEra } from '../src/index.js';
+import { BackendListUpdater, FleetState, type BackendDescription, type NewEra } from '../src/index.js';
 
 const RETURN_MS = 2000;
 const HEARTBEAT_MS = 1200;
@@ -16,12 +16,12 @@
   readonly clock = new VirtualClock();
   readonly fleet = new FleetState();
   readonly listedAgain: string[] = [];
-  readonly listUpdater = new BackendLapses({
+  readonly listUpdater = new BackendListUpdater({
     fleet: this.fleet,
     clock: this.clock,
     heartbeatMs: HEARTBEAT_MS,
     listAgeMs: () => 0,
-    onHeld: () => undefined,
+    onRemovalDeferred: () => undefined,
     onListedAgain: (ids) => this.listedAgain.push(...ids),
   });
 
@@ -63,7 +63,7 @@
 test('a new era before the list was read resets the revision of the entries written by operators', (t) => {
   const fleet = new FleetState();
   fleet.enterEra(1);
-  fleet.confirmOperatorState(50);
+  fleet.advanceOperatorRevision(50);
   fleet.enterEra(2);
   t.is(fleet.operatorRevision, 0);
 });
@@ -81,7 +81,7 @@
   node.restoreStore(4, [backend('stays'), backend('leaves')]);
   t.true(node.fleet.isLeaving('leaves'));
   t.is(node.fleet.backend('leaves')?.state, 'draining');
-  t.deepEqual(node.fleet.unlistedDepartures('s'), ['leaves'], 'other nodes may not know');
+  t.deepEqual(node.fleet.leavingBackendsListedReady('s'), ['leaves'], 'other nodes may not know');
   await node.clock.runUntil(2 * RESTORE_PERIOD_MS);
   t.true(node.fleet.isLeaving('leaves'), 'an announced shutdown is final');
 });
@@ -153,8 +153,8 @@
   fleet.applyListing(before);
   t.true(fleet.isLeaving('stays'));
   t.is(fleet.backendsRevision, 3);
-  t.true(fleet.backendsReach({ era: 1, revision: 99 }), 'a point in an earlier era is older');
-  t.false(fleet.backendsReach({ era: 3, revision: 1 }));
+  t.true(fleet.hasBackendsAsOf({ era: 1, revision: 99 }), 'a point in an earlier era is older');
+  t.false(fleet.hasBackendsAsOf({ era: 3, revision: 1 }));
 });
 
 test('the list of a peer that names no era is applied until a new era begins', (t) => {
@@ -166,7 +166,7 @@
   fleet.enterEra(2);
   fleet.applyListing({ revision: 12, backends });
   t.false(fleet.isLeaving('stays'));
-  t.true(fleet.backendsReach({ revision: 12 }));
+  t.true(fleet.hasBackendsAsOf({ revision: 12 }));
 });
 
 // Guards against applying the old list of a peer that does not know yet that the store has published its
@@ -205,6 +205,6 @@
   one.applyBackend(5, backend('b'));
   other.applyListing(one.listing());
   t.is(other.backend('b')?.state, 'ready');
-  t.true(other.backendsReach({ revision: 5 }));
-  t.false(other.backendsReach({ revision: 6 }));
+  t.true(other.hasBackendsAsOf({ revision: 5 }));
+  t.false(other.hasBackendsAsOf({ revision: 6 }));
 });
