--- a/packages/http-bindings/src/event-stream-tracker.ts
+++ b/packages/http-bindings/src/event-stream-tracker.ts
@@ -5,39 +5,39 @@
 const EMPTY = Buffer.alloc(0);
 
 /**
- * Follows a server-sent event stream chunk by chunk, without parsing events: passes on whole events only
- * and remembers the id of the last, so that a broken stream can be continued without a doubled part.
- * Format: WHATWG HTML, "Server-sent events", with line feeds as line ends.
+ * Tracks a stream of server-sent events chunk by chunk without parsing the events. Passes on complete events
+ * only and records the id of the last one, so that a broken stream can be resumed without repeating any bytes.
+ * Format: WHATWG HTML standard, section "Server-sent events", with LF as the only line ending.
  */
 export class EventStreamTracker {
-  #rest: Buffer = EMPTY;
-  /** Id of the last whole event passed on, -1 before the first. */
+  #partialEvent: Buffer = EMPTY;
+  /** Id of the last complete event that was passed on; -1 before the first. */
   lastEventId: number;
 
   constructor(lastEventId = -1) {
     this.lastEventId = lastEventId;
   }
 
-  /** Whether the beginning of an event is held back. */
+  /** Whether an incomplete event is buffered. */
   get hasPartialEvent(): boolean {
-    return this.#rest.length > 0;
+    return this.#partialEvent.length > 0;
   }
 
-  /** The bytes that complete events; what follows the last event end is kept back. */
+  /** Adds a chunk and returns all complete events; the bytes after the last event end stay buffered. */
   push(chunk: Buffer): Buffer {
-    if (this.#rest.length === 0 && endsEvent(chunk)) return this.#passed(chunk);
-    const joined = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
+    if (this.#partialEvent.length === 0 && endsEvent(chunk)) return this.#recordLastEventId(chunk);
+    const joined = this.#partialEvent.length === 0 ? chunk : Buffer.concat([this.#partialEvent, chunk]);
     const end = joined.lastIndexOf(EVENT_END);
     if (end === -1) {
-      this.#rest = joined;
+      this.#partialEvent = joined;
       return EMPTY;
     }
-    const whole = joined.subarray(0, end + EVENT_END.length);
-    this.#rest = joined.subarray(whole.length);
-    return this.#passed(whole);
+    const complete = joined.subarray(0, end + EVENT_END.length);
+    this.#partialEvent = joined.subarray(complete.length);
+    return this.#recordLastEventId(complete);
   }
 
-  #passed(events: Buffer): Buffer {
+  #recordLastEventId(events: Buffer): Buffer {
     let at = events.lastIndexOf(ID_FIELD);
     if (at !== -1) at += ID_FIELD.length;
     else if (events.subarray(0, FIRST_ID_FIELD.length).equals(FIRST_ID_FIELD)) at = FIRST_ID_FIELD.length;
--- a/packages/http-bindings/src/http-agent.ts
+++ b/packages/http-bindings/src/http-agent.ts
@@ -4,7 +4,10 @@
 const CONNECT_TIMEOUT_MS = 1500;
 const KEEP_ALIVE_MS = 15_000;
 
-/** Connection pools for one kind of back end. Body and header waits are bounded by request deadlines. */
+/**
+ * Creates the connection pools for one kind of back end. Header and body timeouts are off, since each request has
+ * a deadline of its own.
+ */
 export function newHttpAgent(): Agent {
   return new Agent({
     connections: CONNECTIONS_PER_ORIGIN,
--- a/packages/http-bindings/src/http-configuration-source.ts
+++ b/packages/http-bindings/src/http-configuration-source.ts
@@ -7,9 +7,9 @@
 
 const GET_TIMEOUT_MS = 3000;
 const STATUS_NOT_FOUND = 404;
-const STATUS_TOO_MANY = 429;
+const STATUS_TOO_MANY_REQUESTS = 429;
 
-/** The configuration service over HTTP: `GET /values/KEY`, with `after` and `wait` to watch. */
+/** Client of the configuration service over HTTP: `GET /values/KEY`; `after` and `wait` make it a long poll. */
 export class HttpConfigurationSource implements ConfigurationSource {
   readonly #url: string;
   readonly #dispatcher: Dispatcher;
@@ -43,9 +43,9 @@
       });
       const payload: unknown = await response.body.json();
       if (response.statusCode === STATUS_NOT_FOUND) return err({ kind: 'missing', key });
-      if (response.statusCode === STATUS_TOO_MANY) return err({ kind: 'rate-limited' });
-      const checked = valueSchema.safeParse(payload);
-      if (checked.success) return ok(checked.data);
+      if (response.statusCode === STATUS_TOO_MANY_REQUESTS) return err({ kind: 'rate-limited' });
+      const parsed = valueSchema.safeParse(payload);
+      if (parsed.success) return ok(parsed.data);
       return err({ kind: 'unavailable', detail: `status ${response.statusCode}` });
     } catch (cause) {
       return err({ kind: 'unavailable', detail: (cause as Error).message });
--- a/packages/http-bindings/src/http-engine-client.ts
+++ b/packages/http-bindings/src/http-engine-client.ts
@@ -16,7 +16,7 @@
 import { streamExchange, type ExchangeEnd, type ExchangeFailure } from './stream-exchange.js';
 
 const REPORT_TIMEOUT_MS = 2000;
-/** Loads wait for the weight store; every other order is answered at once. */
+/** Longer than ORDER_TIMEOUT_MS because a load waits for the weight store; engines answer other orders at once. */
 const LOAD_TIMEOUT_MS = 60_000;
 const ORDER_TIMEOUT_MS = 2500;
 const OK_STATUS = 200;
@@ -41,12 +41,12 @@
   adapters: z.array(z.object({ adapter: z.string(), version: z.string(), running: z.number() })),
 });
 
-/** An engine over HTTP: completions with server-sent events, fenced orders, reports. */
+/** Client of an engine over HTTP: completions as server-sent events, fenced orders and status reports. */
 export class HttpEngineClient implements EngineClient {
   readonly #url: string;
   readonly #dispatcher: Dispatcher;
 
-  /** @param url root of the engine, without a slash at its end */
+  /** @param url base URL of the engine; a trailing slash is removed */
   constructor(url: string, dispatcher: Dispatcher) {
     this.#url = url.replace(/\/$/, '');
     this.#dispatcher = dispatcher;
@@ -71,14 +71,14 @@
 
   order(fence: number, order: EngineOrder, signal?: AbortSignal): ResultAsync<EngineOrderReply, EngineError> {
     const body = JSON.stringify({ fence, order });
-    const limit = AbortSignal.timeout(order.kind === 'load' ? LOAD_TIMEOUT_MS : ORDER_TIMEOUT_MS);
-    const bounded = signal === undefined ? limit : AbortSignal.any([signal, limit]);
-    return new ResultAsync(this.#json('POST', '/control/orders', orderReplySchema, body, bounded));
+    const timeout = AbortSignal.timeout(order.kind === 'load' ? LOAD_TIMEOUT_MS : ORDER_TIMEOUT_MS);
+    const combined = signal === undefined ? timeout : AbortSignal.any([signal, timeout]);
+    return new ResultAsync(this.#requestJson('POST', '/control/orders', orderReplySchema, body, combined));
   }
 
   report(): ResultAsync<EngineReport, EngineError> {
     const signal = AbortSignal.timeout(REPORT_TIMEOUT_MS);
-    return new ResultAsync(this.#json('GET', '/control/report', reportSchema, undefined, signal));
+    return new ResultAsync(this.#requestJson('GET', '/control/report', reportSchema, undefined, signal));
   }
 
   async #generate(
@@ -132,7 +132,7 @@
     return toGenerationResult(outcome, signal);
   }
 
-  /** Best effort: an engine that misses it gives up by itself when nobody reads. */
+  /** Best effort: if the request is lost, the engine stops the generation itself once nobody reads it. */
   #cancel(requestId: string): void {
     httpRequest(`${this.#url}/v1/requests/${encodeURIComponent(requestId)}`, {
       method: 'DELETE',
@@ -143,7 +143,7 @@
     );
   }
 
-  async #json<T>(
+  async #requestJson<T>(
     method: 'GET' | 'POST',
     path: string,
     schema: z.ZodType<T>,
@@ -158,9 +158,9 @@
         dispatcher: this.#dispatcher,
         signal,
       });
-      const checked = schema.safeParse(await response.body.json());
-      if (checked.success) return ok(checked.data);
-      return err({ kind: 'broken', executed: 'unknown', lastEventId: -1, detail: checked.error.message });
+      const parsed = schema.safeParse(await response.body.json());
+      if (parsed.success) return ok(parsed.data);
+      return err({ kind: 'broken', executed: 'unknown', lastEventId: -1, detail: parsed.error.message });
     } catch (cause) {
       return err({ kind: 'broken', executed: 'unknown', lastEventId: -1, detail: (cause as Error).message });
     }
@@ -173,7 +173,7 @@
 ): Result<GenerationEnd, EngineError> {
   if (outcome.kind !== 'failed') {
     if (outcome.kind === 'answered') return ok({ lastEventId: outcome.lastEventId });
-    return err(readRefusal(outcome.status, outcome.refusal));
+    return err(toRefusalError(outcome.status, outcome.refusal));
   }
   if (!outcome.sent) return err({ kind: 'unreachable', executed: 'no', detail: outcome.detail });
   if (signal.aborted) return err({ kind: 'cancelled', executed: 'unknown' });
@@ -185,21 +185,21 @@
   });
 }
 
-function readRefusal(status: number, text: string): EngineError {
-  const checked = refusalSchema.safeParse(parseJson(text));
-  if (!checked.success) {
+function toRefusalError(status: number, text: string): EngineError {
+  const parsed = refusalSchema.safeParse(parseJson(text));
+  if (!parsed.success) {
     return { kind: 'broken', executed: 'unknown', lastEventId: -1, detail: `status ${status}` };
   }
-  switch (checked.data.reason) {
+  switch (parsed.data.reason) {
     case 'stale-fence':
-      return { kind: 'stale-fence', executed: 'no', currentFence: checked.data.currentFence ?? 0 };
+      return { kind: 'stale-fence', executed: 'no', currentFence: parsed.data.currentFence ?? 0 };
     case 'adapter-not-loaded':
       return { kind: 'adapter-not-loaded', executed: 'no' };
     case 'full':
     case 'draining':
       return { kind: 'full', executed: 'no' };
     default:
-      return { kind: 'rejected', executed: 'no', status, detail: checked.data.reason };
+      return { kind: 'rejected', executed: 'no', status, detail: parsed.data.reason };
   }
 }
 
--- a/packages/http-bindings/src/http-forward-client.ts
+++ b/packages/http-bindings/src/http-forward-client.ts
@@ -3,7 +3,7 @@
 import type { Dispatcher } from 'undici';
 import { streamExchange } from './stream-exchange.js';
 
-/** A request on its one hop to the owner of an engine. */
+/** A request forwarded to the node that owns the engine. Requests are forwarded at most once. */
 export interface ForwardedRequest {
   readonly peerUrl: string;
   readonly path: string;
@@ -17,7 +17,7 @@
   readonly body: Uint8Array;
 }
 
-/** How a forwarded request failed. */
+/** Why a forwarded request failed. */
 export type ForwardError =
   | { readonly kind: 'refused'; readonly problem: Problem }
   | { readonly kind: 'unreachable'; readonly detail: string }
@@ -30,7 +30,7 @@
 
 const OK_STATUS = 200;
 
-/** Sends requests to the owners of engines. */
+/** Forwards requests to the nodes that own the engines. */
 export interface ForwardClient {
   forward(
     request: ForwardedRequest,
@@ -39,7 +39,7 @@
   ): Promise<Result<{ readonly lastEventId: number }, ForwardError>>;
 }
 
-/** Sends requests to peers over HTTP. */
+/** Forwards requests to peers over HTTP. */
 export class HttpForwardClient implements ForwardClient {
   readonly #dispatcher: Dispatcher;
   readonly #nodeId: string;
@@ -97,7 +97,7 @@
       return { kind: 'refused', problem: value };
     }
   } catch {
-    // falls through: an answer that is no problem document proves nothing
+    // Falls through: without a problem document it is unknown whether the request was executed.
   }
   return {
     kind: 'broken',
--- a/packages/http-bindings/src/http-machine-list.ts
+++ b/packages/http-bindings/src/http-machine-list.ts
@@ -14,7 +14,7 @@
 
 const TIMEOUT_MS = 3000;
 
-/** The platform's machine list over HTTP: `GET /machines`. */
+/** Client of the platform's machine list over HTTP: `GET /machines`. */
 export class HttpMachineList implements MachineList {
   readonly #url: string;
   readonly #dispatcher: Dispatcher;
@@ -34,9 +34,9 @@
         dispatcher: this.#dispatcher,
         signal: AbortSignal.timeout(TIMEOUT_MS),
       });
-      const checked = machinesSchema.safeParse(await response.body.json());
-      if (checked.success) return ok(checked.data);
-      return err({ kind: 'unavailable', detail: checked.error.message });
+      const parsed = machinesSchema.safeParse(await response.body.json());
+      if (parsed.success) return ok(parsed.data);
+      return err({ kind: 'unavailable', detail: parsed.error.message });
     } catch (cause) {
       return err({ kind: 'unavailable', detail: (cause as Error).message });
     }
--- a/packages/http-bindings/src/http-service-client.ts
+++ b/packages/http-bindings/src/http-service-client.ts
@@ -9,7 +9,7 @@
 import type { Dispatcher } from 'undici';
 import { streamExchange } from './stream-exchange.js';
 
-/** Plain services over HTTP: every answer passes through, whatever its status. */
+/** Client of services other than engines over HTTP: every response is passed on, whatever its status. */
 export class HttpServiceClient implements ServiceClient {
   readonly #dispatcher: Dispatcher;
 
--- a/packages/http-bindings/src/index.ts
+++ b/packages/http-bindings/src/index.ts
@@ -1,4 +1,4 @@
-/** HTTP bindings of the ports to engines, services and the platform. Each can be exchanged on its own. */
+/** HTTP implementations of the ports to engines, services and the platform. Each can be replaced independently. */
 export { HttpEngineClient } from './http-engine-client.js';
 export { HttpServiceClient } from './http-service-client.js';
 export { HttpConfigurationSource } from './http-configuration-source.js';
--- a/packages/http-bindings/src/stream-exchange.ts
+++ b/packages/http-bindings/src/stream-exchange.ts
@@ -2,42 +2,46 @@
 import type { Dispatcher } from 'undici';
 import { EventStreamTracker } from './event-stream-tracker.js';
 
-/** A whole answer was passed to the sink, or one that the sink was not shown because of its status. */
+/**
+ * The response ended normally: `answered` if it went to the sink, `refused` if `passesStatus` kept it from the sink.
+ */
 export interface ExchangeEnd {
   readonly kind: 'answered' | 'refused';
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
-  /** Body of a refused answer, cut at a limit. */
+  /** Start of the body of a refused response; no chunks are added once it has MAX_REFUSAL_CHARACTERS. */
   readonly refusal: string;
   readonly lastEventId: number;
 }
 
-/** The exchange broke. `sent` tells whether the request may have reached the other side. */
+/** The exchange failed. `sent` is whether the request may have reached the server. */
 export interface ExchangeFailure {
   readonly kind: 'failed';
   readonly sent: boolean;
-  /** Whether the sink has been given the start of an answer. */
+  /** Whether the status and headers of a response were passed to the sink. */
   readonly started: boolean;
   readonly lastEventId: number;
   readonly detail: string;
 }
 
+/** The request to send and the way its response is handled. */
 export interface ExchangeOptions {
   readonly origin: string;
   readonly path: string;
   readonly method: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array | undefined;
-  /** Which answers go to the sink; others are collected as a refusal. */
+  /** Whether a response of this status goes to the sink; the body of any other is collected as a refusal. */
   readonly passesStatus: (status: number) => boolean;
+  /** Last event id already received, where the request resumes an event stream. */
   readonly afterEventId?: number;
 }
 
-const REFUSAL_LIMIT = 8192;
+const MAX_REFUSAL_CHARACTERS = 8192;
 
 /**
- * One HTTP exchange whose answer streams into a sink with back pressure. Uses undici's dispatch
- * interface, since a readable stream for each answer costs about as much as all else on the path.
+ * Sends an HTTP request and streams its response into a sink with back pressure. Uses undici's dispatch
+ * interface, because a readable stream for each response costs about as much as all other work on the path.
  * Never rejects.
  */
 export function streamExchange(
@@ -70,7 +74,7 @@
   readonly #sink: StreamSink;
   readonly #signal: AbortSignal;
   readonly #resolve: (outcome: ExchangeEnd | ExchangeFailure) => void;
-  readonly #abort = (): void => this.#controller?.abort(new Error('cancelled'));
+  readonly #onAbort = (): void => this.#controller?.abort(new Error('cancelled'));
   #controller: Dispatcher.DispatchController | undefined;
   #tracker: EventStreamTracker | undefined;
   #sent = false;
@@ -89,10 +93,10 @@
     this.#sink = sink;
     this.#signal = signal;
     this.#resolve = resolve;
-    signal.addEventListener('abort', this.#abort, { once: true });
+    signal.addEventListener('abort', this.#onAbort, { once: true });
   }
 
-  /** Undici calls this when a connection is ready, right before the request is written. */
+  /** Called by undici when a connection is ready, just before it writes the request. */
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.#controller = controller;
     if (this.#signal.aborted) {
@@ -118,11 +122,11 @@
 
   onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
     if (!this.#started) {
-      if (this.#refusal.length < REFUSAL_LIMIT) this.#refusal += chunk.toString('utf8');
+      if (this.#refusal.length < MAX_REFUSAL_CHARACTERS) this.#refusal += chunk.toString('utf8');
       return;
     }
-    const whole = this.#tracker === undefined ? chunk : this.#tracker.push(chunk);
-    if (whole.length === 0 || this.#sink.write(whole)) return;
+    const bytes = this.#tracker === undefined ? chunk : this.#tracker.push(chunk);
+    if (bytes.length === 0 || this.#sink.write(bytes)) return;
     controller.pause();
     void this.#sink.waitForDrain().then(() => controller.resume());
   }
@@ -151,7 +155,7 @@
   }
 
   #finish(outcome: ExchangeEnd | ExchangeFailure): void {
-    this.#signal.removeEventListener('abort', this.#abort);
+    this.#signal.removeEventListener('abort', this.#onAbort);
     this.#resolve(outcome);
   }
 }
--- a/packages/load/src/callers/caller.ts
+++ b/packages/load/src/callers/caller.ts
@@ -1,5 +1,5 @@
 import { Header, type Problem } from '@canvasridge/domain';
-import { answerToken, promptHash } from '@canvasridge/standin';
+import { tokenText, promptHash } from '@canvasridge/standin';
 import { isOnce, type Call, type CallAttempt, type CallResult } from './call.js';
 
 /** Answer of the directory, as a caller keeps it. */
@@ -239,7 +239,7 @@
   if (isService(call)) return text.includes(call.prompt);
   const hash = promptHash(call.target, call.prompt);
   for (let index = 0; index < call.maxTokens; index += 1) {
-    if (!text.includes(answerToken(hash, index))) return false;
+    if (!text.includes(tokenText(hash, index))) return false;
   }
   return true;
 }
--- a/packages/load/src/processes/deployment.ts
+++ b/packages/load/src/processes/deployment.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { publishable, type RevisionHead } from '@canvasridge/configuration';
 import { configurationSchema, type Configuration, type NodeStatus } from '@canvasridge/domain';
-import type { Fault, StandinRecords } from '@canvasridge/standin';
+import type { FaultChange, StandinRecords } from '@canvasridge/standin';
 import { request } from 'undici';
 import type { z } from 'zod';
 import { endAll, launch, type LaunchedProcess } from './launcher.js';
@@ -114,7 +114,7 @@
     await this.fault({ machineListLagMs: this.plan.machineListLagMs });
   }
 
-  async fault(fault: Fault): Promise<void> {
+  async fault(fault: FaultChange): Promise<void> {
     await this.#post(`${this.platformUrl}/operator/faults`, fault);
   }
 
--- a/packages/load/src/simulation/engine-ports.ts
+++ b/packages/load/src/simulation/engine-ports.ts
@@ -10,7 +10,7 @@
 } from '@canvasridge/domain';
 import { Header } from '@canvasridge/domain';
 import type { EngineEmulator, Sequence, SequenceListener } from '@canvasridge/standin';
-import { answerToken } from '@canvasridge/standin';
+import { tokenText } from '@canvasridge/standin';
 import { ResultAsync, err, ok, type Result } from 'neverthrow';
 import { exchange } from './exchange.js';
 import type { Connection, Host, SimulatedNetwork } from './network.js';
@@ -293,13 +293,13 @@
 }
 
 function tokenEvent(sequence: Sequence, id: number): string {
-  const text = answerToken(sequence.promptHash, id);
+  const text = tokenText(sequence.promptHash, id);
   return `id: ${id}\ndata: {"model":"${sequence.model}","choices":[{"index":0,"text":"${text}"}]}\n\n`;
 }
 
 function wholeDocument(sequence: Sequence): string {
   let text = '';
   for (let index = 0; index < sequence.totalTokens; index += 1)
-    text += answerToken(sequence.promptHash, index);
+    text += tokenText(sequence.promptHash, index);
   return JSON.stringify({ model: sequence.model, choices: [{ index: 0, text }] });
 }
--- a/packages/standin/src/engine/engine-emulator.ts
+++ b/packages/standin/src/engine/engine-emulator.ts
@@ -9,7 +9,7 @@
 import { Sequence, type SequenceListener } from './sequence.js';
 import { SlotTable } from './slot-table.js';
 
-/** A generation as the engine receives it. */
+/** A generation request as the engine receives it. */
 export interface SubmittedRequest {
   readonly requestId: string;
   readonly model: AdapterRef;
@@ -19,18 +19,20 @@
   readonly fence: number;
 }
 
+/** Why an engine refused a generation request. */
 export type SubmitRefusal =
   | { readonly kind: 'stale-fence'; readonly currentFence: number }
   | { readonly kind: 'adapter-not-loaded' }
   | { readonly kind: 'full' }
   | { readonly kind: 'draining' };
 
-const FINISHED_SEQUENCES_KEPT = 512;
+/** Ended generations beyond this number of kept ones are forgotten, oldest first, and can no longer be resumed. */
+const MAX_KEPT_SEQUENCES = 512;
 
 /**
- * Model engine with continuous batching: each step processes waiting prompts up to a limit and
- * produces one token for each running generation. Holds adapters in slots, checks fences if it is an
- * engine that does, reports with a lag.
+ * Emulates a model engine with continuous batching: each step processes prompt tokens up to a limit and produces
+ * one token for each running generation whose prompt is done. Holds adapters in slots, checks fencing tokens if
+ * `checksFence` is set, and reports its state with a lag.
  */
 export class EngineEmulator {
   readonly identity: EngineIdentity;
@@ -39,14 +41,14 @@
   readonly #clock: Clock;
   readonly #weightStore: WeightStoreEmulator;
   readonly #random: Random;
-  readonly #work = new Notifier();
+  readonly #workAvailable = new Notifier();
   #incarnation = 0;
   #slots: SlotTable;
   #cache: PrefixCache;
   #sequences = new Map<string, Sequence>();
   #waiting: Sequence[] = [];
   #running: Sequence[] = [];
-  #used = new Set<string>();
+  #usedAdapters = new Set<string>();
   #fence = 0;
   #holder = '';
   #renewedAtMs = 0;
@@ -68,7 +70,7 @@
     this.#weightStore = weightStore;
     this.#random = Random.derive(seed, identity.id);
     this.#slots = new SlotTable(identity.slots);
-    this.#cache = this.#newCache();
+    this.#cache = this.#createCache();
     void this.#stepLoop();
     this.#scheduleSnapshot();
   }
@@ -77,7 +79,7 @@
     return `${this.identity.id}.${this.#incarnation}`;
   }
 
-  /** Whether the engine answers at all. */
+  /** Whether the engine responds at all; false emulates an outage. */
   get reachable(): boolean {
     return this.#reachable;
   }
@@ -86,7 +88,7 @@
     this.#reachable = value;
   }
 
-  /** Starts a generation, or says why not; a refused one is never run. */
+  /** Accepts a generation, or returns why it was refused; a refused one is never run. */
   submit(request: SubmittedRequest): Sequence | SubmitRefusal {
     if (this.identity.checksFence && request.fence !== this.#fence) {
       this.record.staleRefusals += 1;
@@ -98,7 +100,7 @@
     }
     if (this.#role === 'drain') return { kind: 'draining' };
     if (this.#waiting.length >= this.behaviour.queueLimit) return { kind: 'full' };
-    const sequence = this.#newSequence(request, key);
+    const sequence = this.#createSequence(request, key);
     this.#accept(sequence);
     return sequence;
   }
@@ -114,12 +116,12 @@
     return true;
   }
 
-  /** The reader of a generation went away; it goes on for the resume window. */
+  /** Records that the reader of a generation disconnected. The generation goes on for `resumeWindowMs`. */
   detach(sequence: Sequence, listener: SequenceListener): void {
     sequence.detach(listener, this.#clock.now());
   }
 
-  /** Carries out a fenced order. */
+  /** Executes an order, unless its fencing token is stale. */
   async order(fence: number, order: EngineOrder): Promise<EngineOrderReply> {
     if (order.kind === 'claim') return this.#claim(fence, order.holder, order.leaseMs);
     if (this.identity.checksFence && fence !== this.#fence) return this.#reply('stale-fence');
@@ -137,37 +139,39 @@
     }
   }
 
-  /** The state of a while ago. */
+  /** Returns the newest snapshot that is at least `reportLagMs` old. */
   report(): EngineReport {
     const nowMs = this.#clock.now();
-    const latest = nowMs - this.behaviour.reportLagMs;
-    const entry = this.#snapshots.findLast((snapshot) => snapshot.atMs <= latest) ?? this.#snapshots[0];
+    const latestAllowedMs = nowMs - this.behaviour.reportLagMs;
+    const entry =
+      this.#snapshots.findLast((snapshot) => snapshot.atMs <= latestAllowedMs) ?? this.#snapshots[0];
     if (entry === undefined) return this.#snapshot();
     return { ...entry.report, snapshotAgeMs: nowMs - entry.atMs };
   }
 
+  /** Prefix cache events with a higher sequence number, published after `cacheEventLagMs`. */
   cacheEvents(afterSequence: number): readonly CacheEvent[] {
     return this.#cache.eventsAfter(afterSequence, this.#clock.now() - this.behaviour.cacheEventLagMs);
   }
 
   exportCache(): readonly number[] {
-    return this.#cache.held();
+    return this.#cache.cachedBlocks();
   }
 
   importCache(blocks: readonly number[]): void {
     this.#cache.store(blocks, this.#clock.now());
   }
 
-  /** Loses every adapter, prefix, generation and fence, as a restarted process does. */
+  /** Drops all adapters, cached prefixes, generations and the fence, as a restart of the process does. */
   restart(): void {
     this.#incarnation += 1;
     for (const sequence of [...this.#running, ...this.#waiting]) sequence.break('the engine restarted');
     this.#slots = new SlotTable(this.identity.slots);
-    this.#cache = this.#newCache();
+    this.#cache = this.#createCache();
     this.#sequences = new Map();
     this.#waiting = [];
     this.#running = [];
-    this.#used = new Set();
+    this.#usedAdapters = new Set();
     this.#fence = 0;
     this.#holder = '';
     this.#leaseUntilMs = 0;
@@ -175,7 +179,7 @@
     this.#snapshots = [];
   }
 
-  #newCache(): PrefixCache {
+  #createCache(): PrefixCache {
     return new PrefixCache(
       this.behaviour.prefixCacheBlocks,
       this.#random,
@@ -183,7 +187,7 @@
     );
   }
 
-  #newSequence(request: SubmittedRequest, key: string): Sequence {
+  #createSequence(request: SubmittedRequest, key: string): Sequence {
     const model = formatModelName(request.model);
     const blocks = prefixBlocks(key, request.prompt);
     const cachedTokens = this.#cache.countHits(blocks) * BLOCK_TOKENS;
@@ -206,21 +210,21 @@
       atMs: this.#clock.now(),
     });
     this.#sequences.set(sequence.requestId, sequence);
-    this.#forgetOldest();
-    this.#slots.addRunning(sequence.adapterKey, 1);
-    this.#used.add(sequence.adapterKey);
-    const place = this.#waiting.findIndex((other) => other.priority < sequence.priority);
-    if (place === -1) this.#waiting.push(sequence);
-    else this.#waiting.splice(place, 0, sequence);
-    this.#work.notify();
+    this.#evictEndedSequences();
+    this.#slots.adjustRunning(sequence.adapterKey, 1);
+    this.#usedAdapters.add(sequence.adapterKey);
+    const position = this.#waiting.findIndex((other) => other.priority < sequence.priority);
+    if (position === -1) this.#waiting.push(sequence);
+    else this.#waiting.splice(position, 0, sequence);
+    this.#workAvailable.notify();
   }
 
-  #forgetOldest(): void {
-    if (this.#sequences.size <= FINISHED_SEQUENCES_KEPT) return;
+  #evictEndedSequences(): void {
+    if (this.#sequences.size <= MAX_KEPT_SEQUENCES) return;
     for (const [requestId, sequence] of this.#sequences) {
       if (sequence.state === 'waiting' || sequence.state === 'running') continue;
       this.#sequences.delete(requestId);
-      if (this.#sequences.size <= FINISHED_SEQUENCES_KEPT) return;
+      if (this.#sequences.size <= MAX_KEPT_SEQUENCES) return;
     }
   }
 
@@ -228,7 +232,7 @@
     for (;;) {
       this.#fillBatch();
       if (this.#running.length === 0) {
-        await this.#work.wait();
+        await this.#workAvailable.wait();
         continue;
       }
       const prefillTokens = this.#prefill();
@@ -252,7 +256,7 @@
         next.state = 'running';
         this.#running.push(next);
       } else {
-        this.#slots.addRunning(next.adapterKey, -1);
+        this.#slots.adjustRunning(next.adapterKey, -1);
       }
     }
   }
@@ -260,8 +264,8 @@
   #prefill(): number {
     let budget = this.behaviour.prefillTokensPerStep;
     for (const sequence of this.#running) {
-      const tokens = Math.min(budget, sequence.prefillLeft);
-      sequence.prefillLeft -= tokens;
+      const tokens = Math.min(budget, sequence.remainingPrefillTokens);
+      sequence.remainingPrefillTokens -= tokens;
       budget -= tokens;
       if (budget === 0) break;
     }
@@ -273,22 +277,22 @@
     const batch = this.#running;
     for (const sequence of batch) {
       if (sequence.state !== 'running') continue;
-      if (this.#abandoned(sequence, nowMs)) sequence.state = 'cancelled';
-      else if (sequence.prefillLeft === 0) sequence.produceToken();
+      if (this.#isAbandoned(sequence, nowMs)) sequence.state = 'cancelled';
+      else if (sequence.remainingPrefillTokens === 0) sequence.produceToken();
     }
-    // A restart meanwhile has put other lists in place; what ended before it is already accounted for.
+    // A restart of the engine during the loop replaced lists, slots and cache: nothing of this batch is left to update.
     if (batch !== this.#running) return;
     this.#running = batch.filter((sequence) => sequence.state === 'running');
     for (const sequence of batch) {
       if (sequence.state === 'running') continue;
-      this.#slots.addRunning(sequence.adapterKey, -1);
+      this.#slots.adjustRunning(sequence.adapterKey, -1);
       this.#cache.store(sequence.blocks, nowMs);
     }
   }
 
-  #abandoned(sequence: Sequence, nowMs: number): boolean {
+  #isAbandoned(sequence: Sequence, nowMs: number): boolean {
     return (
-      sequence.unreadSinceMs !== undefined && nowMs - sequence.unreadSinceMs > this.behaviour.resumeWindowMs
+      sequence.detachedAtMs !== undefined && nowMs - sequence.detachedAtMs > this.behaviour.resumeWindowMs
     );
   }
 
@@ -308,7 +312,7 @@
   async #load(key: string): Promise<EngineOrderReply> {
     if (this.#slots.isLoaded(key)) return this.#reply('done');
     if (this.#slots.has(key)) return this.#reply('failed', 'already loading');
-    if (this.#slots.full) return this.#reply('failed', 'no free slot');
+    if (this.#slots.isFull) return this.#reply('failed', 'no free slot');
     const slots = this.#slots;
     slots.beginLoad(key);
     this.record.loads += 1;
@@ -321,20 +325,20 @@
       return this.#reply('failed', 'the weights could not be read');
     }
     slots.finishLoad(key);
-    this.#used.delete(key);
+    this.#usedAdapters.delete(key);
     return this.#reply('done');
   }
 
   #unload(key: string): EngineOrderReply {
     if (!this.#slots.isLoaded(key)) return this.#reply('done');
-    if (this.#slots.running(key) > 0) this.#unloadUnderWork(key);
+    if (this.#slots.runningCount(key) > 0) this.#breakSequencesOf(key);
     this.#slots.remove(key);
     this.record.unloads += 1;
-    if (!this.#used.has(key)) this.record.wastedLoads += 1;
+    if (!this.#usedAdapters.has(key)) this.record.wastedLoads += 1;
     return this.#reply('done');
   }
 
-  #unloadUnderWork(key: string): void {
+  #breakSequencesOf(key: string): void {
     this.record.unloadedWhileRunning.push({ adapter: key, atMs: this.#clock.now(), by: this.#holder });
     for (const sequence of [...this.#running, ...this.#waiting]) {
       if (sequence.adapterKey !== key) continue;
@@ -346,8 +350,8 @@
   #reply(kind: 'done' | 'stale-fence'): EngineOrderReply;
   #reply(kind: 'failed', detail: string): EngineOrderReply;
   #reply(kind: EngineOrderReply['kind'], detail = ''): EngineOrderReply {
-    const common = { fence: this.#fence, incarnation: this.incarnation };
-    return kind === 'failed' ? { kind, ...common, detail } : { kind, ...common };
+    const state = { fence: this.#fence, incarnation: this.incarnation };
+    return kind === 'failed' ? { kind, ...state, detail } : { kind, ...state };
   }
 
   #scheduleSnapshot(): void {
@@ -360,24 +364,24 @@
   #takeSnapshot(): void {
     const nowMs = this.#clock.now();
     this.#snapshots.push({ atMs: nowMs, report: this.#snapshot() });
-    const oldest = nowMs - this.behaviour.reportLagMs - 2 * this.behaviour.reportIntervalMs;
-    while ((this.#snapshots[0]?.atMs ?? nowMs) < oldest) this.#snapshots.shift();
+    const oldestKeptMs = nowMs - this.behaviour.reportLagMs - 2 * this.behaviour.reportIntervalMs;
+    while ((this.#snapshots[0]?.atMs ?? nowMs) < oldestKeptMs) this.#snapshots.shift();
   }
 
   #snapshot(): EngineReport {
     const nowMs = this.#clock.now();
-    const showsFence = this.identity.checksFence;
+    const reportsFence = this.identity.checksFence;
     return {
       engineId: this.identity.id,
       incarnation: this.incarnation,
       snapshotAgeMs: 0,
-      fence: showsFence ? this.#fence : 0,
-      holder: showsFence ? this.#holder : '',
-      renewedAgoMs: showsFence ? nowMs - this.#renewedAtMs : 0,
-      leaseLeftMs: showsFence ? this.#leaseUntilMs - nowMs : 0,
+      fence: reportsFence ? this.#fence : 0,
+      holder: reportsFence ? this.#holder : '',
+      renewedAgoMs: reportsFence ? nowMs - this.#renewedAtMs : 0,
+      leaseLeftMs: reportsFence ? this.#leaseUntilMs - nowMs : 0,
       running: this.#running.length,
       queued: this.#waiting.length,
-      adapters: this.#slots.loaded().map(({ key, running }) => {
+      adapters: this.#slots.loadedAdapters().map(({ key, running }) => {
         const at = key.lastIndexOf('@');
         return { adapter: key.slice(0, at), version: key.slice(at + 1), running };
       }),
--- a/packages/standin/src/engine/engine-http.ts
+++ b/packages/standin/src/engine/engine-http.ts
@@ -5,7 +5,7 @@
 import { Hono } from 'hono';
 import * as z from 'zod';
 import type { EngineEmulator, SubmitRefusal } from './engine-emulator.js';
-import { answerToken } from './prompt.js';
+import { tokenText } from './prompt.js';
 import type { Sequence, SequenceListener } from './sequence.js';
 
 interface Bindings {
@@ -13,14 +13,14 @@
   readonly outgoing: ServerResponse;
 }
 
-const versionOrder = { adapter: z.string(), version: z.string() };
+const adapterVersionFields = { adapter: z.string(), version: z.string() };
 const orderSchema = z.object({
   fence: z.int().min(0),
   order: z.discriminatedUnion('kind', [
     z.object({ kind: z.literal('claim'), holder: z.string(), leaseMs: z.number() }),
     z.object({ kind: z.literal('renew'), holder: z.string(), leaseMs: z.number() }),
-    z.object({ kind: z.literal('load'), ...versionOrder }),
-    z.object({ kind: z.literal('unload'), ...versionOrder }),
+    z.object({ kind: z.literal('load'), ...adapterVersionFields }),
+    z.object({ kind: z.literal('unload'), ...adapterVersionFields }),
     z.object({ kind: z.literal('role'), role: z.enum(['serve', 'drain']) }),
   ]),
 });
@@ -32,16 +32,16 @@
   max_tokens: z.int().min(1).max(100_000).default(16),
   stream: z.boolean().default(false),
 });
-type Body = z.infer<typeof bodySchema>;
+type CompletionBody = z.infer<typeof bodySchema>;
 
-const REFUSAL_STATUS: Readonly<Record<SubmitRefusal['kind'], number>> = {
+const REFUSAL_STATUS_CODES: Readonly<Record<SubmitRefusal['kind'], number>> = {
   'stale-fence': 412,
   'adapter-not-loaded': 409,
   full: 429,
   draining: 503,
 };
 
-/** HTTP face of an emulated engine: OpenAI-compatible completions and chat, fenced orders, reports. */
+/** HTTP interface of an emulated engine: OpenAI-compatible completions and chat, fenced orders, status reports. */
 export function engineListener(
   engine: EngineEmulator,
 ): (request: IncomingMessage, response: ServerResponse) => void {
@@ -65,7 +65,7 @@
     const sequence = engine.find(context.req.param('id'));
     if (sequence === undefined) return Response.json({ reason: 'unknown request' }, { status: 404 });
     const after = Number(context.req.query('after') ?? '-1');
-    streamAnswer(engine, sequence, context.env.outgoing, after, false);
+    streamResponse(engine, sequence, context.env.outgoing, after, false);
     return RESPONSE_ALREADY_SENT;
   });
   app.delete('/v1/requests/:id', (context) =>
@@ -91,9 +91,14 @@
   return (request, response) => void listener(request, response);
 }
 
-function startGeneration(engine: EngineEmulator, env: Bindings, body: Body, chat: boolean): Response {
+function startGeneration(
+  engine: EngineEmulator,
+  env: Bindings,
+  body: CompletionBody,
+  chat: boolean,
+): Response {
   const { headers } = env.incoming;
-  // A node may resolve a model without a version; the header then names what it resolved to.
+  // The body may name a model without a version; the header then has the version that the node resolved it to.
   const model = parseModelName(String(headers[Header.model] ?? body.model));
   if (model.isErr())
     return Response.json({ reason: `model: expected ${model.error.expected}` }, { status: 400 });
@@ -105,62 +110,63 @@
     priority: Number(headers[Header.priority] ?? 0),
     fence: Number(headers[Header.fence] ?? 0),
   });
-  if ('kind' in submitted) return refusal(submitted);
+  if ('kind' in submitted) return refusalResponse(submitted);
   env.outgoing.setHeader(Header.servedModel, submitted.model);
   env.outgoing.setHeader(Header.servedEngine, engine.identity.id);
-  if (body.stream) streamAnswer(engine, submitted, env.outgoing, -1, chat);
-  else wholeAnswer(engine, submitted, env.outgoing, model.value, chat);
+  if (body.stream) streamResponse(engine, submitted, env.outgoing, -1, chat);
+  else sendWholeResponse(engine, submitted, env.outgoing, model.value, chat);
   return RESPONSE_ALREADY_SENT;
 }
 
-function promptOf(body: Body): string {
+function promptOf(body: CompletionBody): string {
   return (
     body.prompt ?? (body.messages ?? []).map((message) => `${message.role}: ${message.content}`).join('\n')
   );
 }
 
-function refusal(reason: SubmitRefusal): Response {
+function refusalResponse(reason: SubmitRefusal): Response {
   const currentFence = reason.kind === 'stale-fence' ? reason.currentFence : undefined;
-  return Response.json({ reason: reason.kind, currentFence }, { status: REFUSAL_STATUS[reason.kind] });
+  return Response.json({ reason: reason.kind, currentFence }, { status: REFUSAL_STATUS_CODES[reason.kind] });
 }
 
-/** Server-sent events, one a token, with the token's index as id; ends with `[DONE]`. */
-function streamAnswer(
+/** Streams server-sent events, one for each token with the token's index as id, and `[DONE]` at the end. */
+function streamResponse(
   engine: EngineEmulator,
   sequence: Sequence,
   response: ServerResponse,
   afterIndex: number,
   chat: boolean,
 ): void {
-  const writer = new EventWriter(sequence, response, afterIndex, chat);
+  const writer = new EventStreamWriter(sequence, response, afterIndex, chat);
   response.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store' });
   response.flushHeaders();
   response.on('close', () => engine.detach(sequence, writer));
   sequence.attach(writer);
 }
 
-class EventWriter implements SequenceListener {
+/** Writes the tokens of a generation as server-sent events. */
+class EventStreamWriter implements SequenceListener {
   readonly #sequence: Sequence;
   readonly #response: ServerResponse;
   readonly #chat: boolean;
-  #next: number;
+  #nextIndex: number;
 
   constructor(sequence: Sequence, response: ServerResponse, afterIndex: number, chat: boolean) {
     this.#sequence = sequence;
     this.#response = response;
-    this.#next = afterIndex + 1;
+    this.#nextIndex = afterIndex + 1;
     this.#chat = chat;
   }
 
   onTokens(last: number): void {
     let text = '';
-    for (; this.#next <= last; this.#next += 1) text += this.#event(this.#next);
+    for (; this.#nextIndex <= last; this.#nextIndex += 1) text += this.#event(this.#nextIndex);
     if (text !== '') this.#response.write(text);
   }
 
   onEnd(): void {
     const id = this.#sequence.totalTokens;
-    this.#response.end(this.#next <= id ? `id: ${id}\ndata: [DONE]\n\n` : '');
+    this.#response.end(this.#nextIndex <= id ? `id: ${id}\ndata: [DONE]\n\n` : '');
   }
 
   onBroken(): void {
@@ -169,14 +175,14 @@
 
   #event(index: number): string {
     const { requestId, model, promptHash } = this.#sequence;
-    const text = answerToken(promptHash, index);
+    const text = tokenText(promptHash, index);
     const choice = this.#chat ? `"delta":{"content":"${text}"}` : `"text":"${text}"`;
     return `id: ${index}\ndata: {"id":"${requestId}","model":"${model}","choices":[{"index":0,${choice}}]}\n\n`;
   }
 }
 
-/** One JSON document when the generation has ended. */
-function wholeAnswer(
+/** Sends one JSON document once the generation has ended. */
+function sendWholeResponse(
   engine: EngineEmulator,
   sequence: Sequence,
   response: ServerResponse,
@@ -197,8 +203,7 @@
 
 function completionDocument(sequence: Sequence, model: AdapterRef, chat: boolean): unknown {
   let text = '';
-  for (let index = 0; index < sequence.totalTokens; index += 1)
-    text += answerToken(sequence.promptHash, index);
+  for (let index = 0; index < sequence.totalTokens; index += 1) text += tokenText(sequence.promptHash, index);
   const choice = chat ? { message: { role: 'assistant', content: text } } : { text };
   return {
     id: sequence.requestId,
--- a/packages/standin/src/engine/engine-record.ts
+++ b/packages/standin/src/engine/engine-record.ts
@@ -1,27 +1,28 @@
-/** What an engine really did: the evidence that checkers judge by. */
+/** A generation that an engine accepted. */
 export interface Execution {
   readonly requestId: string;
   readonly model: string;
   readonly atMs: number;
 }
 
+/** What an engine actually did. Checkers compare it with what callers were told. */
 export class EngineRecord {
   readonly executions: Execution[] = [];
-  /** Adapters that were unloaded while generations ran on them. */
+  /** Adapters that were unloaded while generations used them, with the engine's owner at that time. */
   readonly unloadedWhileRunning: { readonly adapter: string; readonly atMs: number; readonly by: string }[] =
     [];
   loads = 0;
   failedLoads = 0;
   unloads = 0;
-  /** Loads whose adapter was unloaded before any request used it. */
+  /** Number of adapters that were unloaded before any request used them. */
   wastedLoads = 0;
   staleRefusals = 0;
   steps = 0;
-  /** Sum over steps of the number of sequences in the batch. */
+  /** Number of sequences in the batch, summed over all steps. */
   sequenceSteps = 0;
   busyMs = 0;
 
-  /** Mean share of the batch in use while the engine was working. */
+  /** Mean fraction of the batch in use, over the steps of the engine. */
   batchEfficiency(maxBatch: number): number {
     return this.steps === 0 ? 0 : this.sequenceSteps / (this.steps * maxBatch);
   }
--- a/packages/standin/src/engine/engine-settings.ts
+++ b/packages/standin/src/engine/engine-settings.ts
@@ -1,31 +1,32 @@
 import * as z from 'zod';
 
-/** Speed and faults of one emulated engine. Times are milliseconds, lengths are tokens. */
+/** Speed and faults of one emulated engine. Times are in milliseconds, lengths in tokens. */
 export const engineBehaviourSchema = z.strictObject({
-  /** Length of a decoding step with an empty batch. */
+  /** Base duration of a decoding step, without the parts added by sequences and prompt tokens. */
   stepBaseMs: z.number().min(0).default(18),
-  /** Added to a step by each running sequence. */
+  /** Time that each running sequence adds to a step. */
   stepPerSequenceMs: z.number().min(0).default(0.25),
-  /** Added to a step by each prompt token processed in it. */
+  /** Time that each prompt token processed in a step adds to it. */
   prefillPerTokenMs: z.number().min(0).default(0.05),
-  /** Prompt tokens processed in one step at the most (chunked prefill). */
+  /** Maximum number of prompt tokens processed in one step (chunked prefill). */
   prefillTokensPerStep: z.int().min(1).default(512),
-  /** Requests waiting for a place in the batch before the engine answers that it is full. */
+  /** Number of requests that may wait for a place in the batch; beyond it the engine refuses with `full`. */
   queueLimit: z.int().min(0).default(64),
-  /** Blocks held by the prefix cache. */
+  /** Capacity of the prefix cache in blocks. */
   prefixCacheBlocks: z.int().min(0).default(4096),
-  /** Time between two snapshots for reports. */
+  /** Time between two snapshots of the state for reports. */
   reportIntervalMs: z.number().min(1).default(250),
-  /** Age of the snapshot that a report gives. */
+  /** Minimum age of the snapshot that a report returns. */
   reportLagMs: z.number().min(0).default(500),
+  /** Time from a change of the prefix cache until its event is published. */
   cacheEventLagMs: z.number().min(0).default(1000),
-  /** Share of cache events that are never published. */
+  /** Fraction of cache events that are never published. */
   cacheEventLoss: z.number().min(0).max(1).default(0.05),
-  /** How long a generation goes on, and its tokens are kept, after its reader went away. */
+  /** How long a generation goes on after its reader disconnected, so that it can be resumed. */
   resumeWindowMs: z.number().min(0).default(10_000),
-  /** Share of loads that fail. */
+  /** Fraction of loads that fail. */
   loadFailureShare: z.number().min(0).max(1).default(0),
-  /** Time that an engine takes to attach weights it has fetched. */
+  /** Time to attach weights after they were fetched. */
   attachMs: z.number().min(0).default(30),
 });
 
@@ -33,7 +34,7 @@
 
 export const DEFAULT_ENGINE_BEHAVIOUR: EngineBehaviour = engineBehaviourSchema.parse({});
 
-/** Identity and size of one emulated engine. */
+/** Identity and capacity of one emulated engine. */
 export interface EngineIdentity {
   readonly id: string;
   readonly base: string;
--- a/packages/standin/src/engine/prefix-cache.ts
+++ b/packages/standin/src/engine/prefix-cache.ts
@@ -1,7 +1,7 @@
 import { LRUCache } from 'lru-cache';
 import type { Random } from '@canvasridge/clock';
 
-/** A change of the prefix cache, as engines publish them. */
+/** A change of the prefix cache, as an engine publishes it. */
 export interface CacheEvent {
   readonly sequence: number;
   readonly kind: 'stored' | 'removed' | 'cleared';
@@ -9,26 +9,26 @@
   readonly atMs: number;
 }
 
-const EVENT_HISTORY = 2048;
+const MAX_KEPT_EVENTS = 2048;
 
-/** Least-recently-used cache of prompt blocks, with its feed of events. */
+/** LRU cache of prompt blocks that publishes its changes as numbered events. */
 export class PrefixCache {
   readonly #blocks: LRUCache<number, true> | undefined;
   readonly #events: CacheEvent[] = [];
   readonly #random: Random;
-  readonly #lossShare: () => number;
+  readonly #eventLossFraction: () => number;
   #sequence = 0;
 
-  constructor(capacity: number, random: Random, lossShare: () => number) {
+  constructor(capacity: number, random: Random, eventLossFraction: () => number) {
     this.#random = random;
-    this.#lossShare = lossShare;
+    this.#eventLossFraction = eventLossFraction;
     this.#blocks =
       capacity === 0
         ? undefined
         : new LRUCache({ max: capacity, dispose: (_value, block) => this.#publish('removed', block) });
   }
 
-  /** Number of leading blocks already held. */
+  /** Number of leading blocks that are cached. */
   countHits(blocks: readonly number[]): number {
     let hits = 0;
     while (hits < blocks.length && this.#blocks?.get(blocks[hits] ?? 0) === true) hits += 1;
@@ -43,21 +43,21 @@
     }
   }
 
-  /** Blocks held now, for a KV export. */
-  held(): number[] {
+  /** Hashes of all cached blocks, for a KV export. */
+  cachedBlocks(): number[] {
     return this.#blocks === undefined ? [] : [...this.#blocks.keys()];
   }
 
-  /** Events after `sequence` that are older than the lag. Lost ones show as gaps in the numbers. */
+  /** Events after `sequence` that happened up to `latestMs`. Lost events show as gaps in the sequence numbers. */
   eventsAfter(sequence: number, latestMs: number): readonly CacheEvent[] {
     return this.#events.filter((event) => event.sequence > sequence && event.atMs <= latestMs);
   }
 
   #publish(kind: CacheEvent['kind'], block: number, atMs = 0): void {
     this.#sequence += 1;
-    if (this.#random.next() < this.#lossShare()) return;
+    if (this.#random.next() < this.#eventLossFraction()) return;
     const last = this.#events.at(-1);
     this.#events.push({ sequence: this.#sequence, kind, block, atMs: Math.max(atMs, last?.atMs ?? 0) });
-    if (this.#events.length > EVENT_HISTORY) this.#events.splice(0, EVENT_HISTORY / 2);
+    if (this.#events.length > MAX_KEPT_EVENTS) this.#events.splice(0, MAX_KEPT_EVENTS / 2);
   }
 }
--- a/packages/standin/src/engine/prompt.ts
+++ b/packages/standin/src/engine/prompt.ts
@@ -3,14 +3,14 @@
 const CHARACTERS_PER_TOKEN = 4;
 const BLOCK_CHARACTERS = 256;
 
-/** Tokens of a cache block: the unit in which prefixes are cached. */
+/** Tokens in a block, the unit in which prompt prefixes are cached. */
 export const BLOCK_TOKENS = BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN;
 
 export function countPromptTokens(prompt: string): number {
   return Math.max(1, Math.ceil(prompt.length / CHARACTERS_PER_TOKEN));
 }
 
-/** Hash of each leading block of a prompt; block n depends on all before it. */
+/** Hashes of the complete blocks of a prompt; the hash of a block covers all blocks before it as well. */
 export function prefixBlocks(adapterKey: string, prompt: string): number[] {
   const blocks: number[] = [];
   let previous = hashSeed(adapterKey);
@@ -21,8 +21,8 @@
   return blocks;
 }
 
-/** Text of token `index` in the answer to `prompt`: a function of both, so that readers can check it. */
-export function answerToken(promptHash: number, index: number): string {
+/** Text of token `index` of a completion, derived from the prompt hash so that readers can verify it. */
+export function tokenText(promptHash: number, index: number): string {
   return ` ${promptHash.toString(36)}.${index}`;
 }
 
--- a/packages/standin/src/engine/sequence.ts
+++ b/packages/standin/src/engine/sequence.ts
@@ -1,12 +1,12 @@
-/** Follows one generation. */
+/** Receives the progress of one generation. */
 export interface SequenceListener {
-  /** Tokens up to and including index `last` exist. */
+  /** The tokens up to and including index `last` are available. */
   onTokens(last: number): void;
   onEnd(): void;
   onBroken(reason: string): void;
 }
 
-/** One generation of an engine: its progress, kept while it can be resumed. */
+/** State of one generation, kept after its end so that its reader can resume it. */
 export class Sequence {
   readonly requestId: string;
   readonly model: string;
@@ -15,12 +15,12 @@
   readonly totalTokens: number;
   readonly priority: number;
   readonly blocks: readonly number[];
-  /** Prompt tokens that still have to be processed. */
-  prefillLeft: number;
-  produced = 0;
+  /** Number of prompt tokens that still have to be processed. */
+  remainingPrefillTokens: number;
+  producedTokens = 0;
   state: 'waiting' | 'running' | 'done' | 'cancelled' | 'broken' = 'waiting';
-  /** When the last reader went away; undefined while one is attached. */
-  unreadSinceMs: number | undefined;
+  /** When the last reader disconnected; undefined while one is attached. */
+  detachedAtMs: number | undefined;
   #listener: SequenceListener | undefined;
 
   constructor(options: {
@@ -37,32 +37,32 @@
     this.model = options.model;
     this.adapterKey = options.adapterKey;
     this.promptHash = options.promptHash;
-    this.prefillLeft = options.promptTokens;
+    this.remainingPrefillTokens = options.promptTokens;
     this.totalTokens = options.totalTokens;
     this.priority = options.priority;
     this.blocks = options.blocks;
   }
 
-  /** Makes `listener` the reader; an earlier one hears nothing more. */
+  /** Makes `listener` the reader, in place of an earlier one, and passes it the progress so far. */
   attach(listener: SequenceListener): void {
     this.#listener = listener;
-    this.unreadSinceMs = undefined;
-    if (this.produced > 0) listener.onTokens(this.produced - 1);
+    this.detachedAtMs = undefined;
+    if (this.producedTokens > 0) listener.onTokens(this.producedTokens - 1);
     if (this.state === 'done') listener.onEnd();
     if (this.state === 'broken') listener.onBroken('the engine restarted');
   }
 
-  /** The reader went away. A later reader is not affected. */
+  /** Detaches `listener`; does nothing if another reader has replaced it. */
   detach(listener: SequenceListener, nowMs: number): void {
     if (this.#listener !== listener) return;
     this.#listener = undefined;
-    this.unreadSinceMs = nowMs;
+    this.detachedAtMs = nowMs;
   }
 
   produceToken(): void {
-    this.produced += 1;
-    this.#listener?.onTokens(this.produced - 1);
-    if (this.produced < this.totalTokens) return;
+    this.producedTokens += 1;
+    this.#listener?.onTokens(this.producedTokens - 1);
+    if (this.producedTokens < this.totalTokens) return;
     this.state = 'done';
     this.#listener?.onEnd();
   }
--- a/packages/standin/src/engine/slot-table.ts
+++ b/packages/standin/src/engine/slot-table.ts
@@ -4,7 +4,7 @@
   running: number;
 }
 
-/** The adapters an engine holds, and how many generations run on each. */
+/** Adapter slots of an engine, with the number of waiting and running generations of each adapter. */
 export class SlotTable {
   readonly #capacity: number;
   readonly #slots = new Map<string, Slot>();
@@ -21,7 +21,7 @@
     return this.#slots.has(key);
   }
 
-  get full(): boolean {
+  get isFull(): boolean {
     return this.#slots.size >= this.#capacity;
   }
 
@@ -38,17 +38,17 @@
     this.#slots.delete(key);
   }
 
-  running(key: string): number {
+  runningCount(key: string): number {
     return this.#slots.get(key)?.running ?? 0;
   }
 
-  addRunning(key: string, change: number): void {
+  adjustRunning(key: string, change: number): void {
     const slot = this.#slots.get(key);
     if (slot !== undefined) slot.running += change;
   }
 
-  /** Loaded adapters with their numbers of generations. */
-  loaded(): { readonly key: string; readonly running: number }[] {
+  /** All loaded adapters with their numbers of generations. */
+  loadedAdapters(): { readonly key: string; readonly running: number }[] {
     return [...this.#slots]
       .filter(([, slot]) => slot.state === 'loaded')
       .map(([key, slot]) => ({ key, running: slot.running }));
--- a/packages/standin/src/index.ts
+++ b/packages/standin/src/index.ts
@@ -1,4 +1,4 @@
-/** Emulator of the platform, for its binary and for experiments in virtual time. */
+/** Emulator of the platform. Runs as a process of its own, or inside simulations in virtual time. */
 export { Standin, type StandinRecords } from './standin.js';
 export { startStandinProcess, type StandinProcess } from './process.js';
 export { standinSettingsSchema, type StandinSettings } from './settings.js';
@@ -8,10 +8,10 @@
   type EngineBehaviour,
   type EngineIdentity,
 } from './engine/engine-settings.js';
-export { answerToken, promptHash } from './engine/prompt.js';
+export { tokenText, promptHash } from './engine/prompt.js';
 export type { Sequence, SequenceListener } from './engine/sequence.js';
 export { WeightStoreEmulator } from './platform/weight-store-emulator.js';
 export { ConfigurationServiceEmulator } from './platform/configuration-service-emulator.js';
 export { MachineListEmulator } from './platform/machine-list-emulator.js';
-export { faultSchema, type Fault } from './platform/platform-http.js';
+export { faultSchema, type FaultChange } from './platform/platform-http.js';
 export { ServiceEmulator } from './service/service-emulator.js';
--- a/packages/standin/src/platform/configuration-service-emulator.ts
+++ b/packages/standin/src/platform/configuration-service-emulator.ts
@@ -2,23 +2,26 @@
 import type { ConfigurationSourceError, SourceValue } from '@canvasridge/domain';
 import { err, ok, type Result } from 'neverthrow';
 
-/** `down` answers nothing, `stale` answers what it held when it became stale. */
+/** `down` fails every read; `stale` keeps returning the values that it had when it was set to stale. */
 export type ConfigurationServiceMode = 'up' | 'down' | 'stale';
 
-const VALUE_LIMIT_BYTES = 1_048_576;
+const MAX_VALUE_BYTES = 1_048_576;
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Configuration service: get and watch only for readers, a version for each key, a cap on reads a second. */
+/**
+ * Emulates the configuration service: readers can get and watch values, each key has a version, and reads per second
+ * are limited.
+ */
 export class ConfigurationServiceEmulator {
   readonly #clock: Clock;
   readonly #readsPerSecond: number;
   readonly #values = new Map<string, SourceValue>();
-  #served = new Map<string, SourceValue>();
-  readonly #changed = new Notifier();
+  #visibleValues = new Map<string, SourceValue>();
+  readonly #valuesChanged = new Notifier();
   #mode: ConfigurationServiceMode = 'up';
   #windowStartMs = 0;
   #windowReads = 0;
-  #waitingWatches = 0;
+  #pendingWatches = 0;
   reads = 0;
   refusedReads = 0;
   peakReadsPerSecond = 0;
@@ -33,54 +36,55 @@
   }
 
   setMode(mode: ConfigurationServiceMode): void {
-    this.#served = mode === 'stale' ? new Map(this.#values) : this.#values;
+    this.#visibleValues = mode === 'stale' ? new Map(this.#values) : this.#values;
     this.#mode = mode;
-    this.#changed.notify();
+    this.#valuesChanged.notify();
   }
 
-  /** What operators do with the platform's own tools; no part of the system calls it. */
+  /** Publishes a value. Operators do this with tools of the platform; nodes never call it. */
   publish(key: string, value: string): Result<void, { readonly kind: 'too-large'; readonly bytes: number }> {
     const bytes = Buffer.byteLength(value);
-    if (bytes > VALUE_LIMIT_BYTES) return err({ kind: 'too-large', bytes });
+    if (bytes > MAX_VALUE_BYTES) return err({ kind: 'too-large', bytes });
     const version = (this.#values.get(key)?.version ?? 0) + 1;
     this.#values.set(key, { value, version });
-    if (this.#mode === 'up') this.#served = this.#values;
-    this.#changed.notify();
+    if (this.#mode === 'up') this.#visibleValues = this.#values;
+    this.#valuesChanged.notify();
     return ok();
   }
 
   get(key: string): Result<SourceValue, ConfigurationSourceError> {
-    if (!this.#countRead()) return err({ kind: 'rate-limited' });
+    if (!this.#admitRead()) return err({ kind: 'rate-limited' });
     return this.#read(key);
   }
 
-  /** Holds the call until the value is newer than `afterVersion` or `waitMs` have passed. */
+  /** Waits until the value is newer than `afterVersion`, the service goes down, or `waitMs` have passed. */
   async watch(
     key: string,
     afterVersion: number,
     waitMs: number,
   ): Promise<Result<SourceValue, ConfigurationSourceError>> {
-    if (!this.#countRead()) return err({ kind: 'rate-limited' });
-    this.#waitingWatches += 1;
-    const until = this.#clock.now() + waitMs;
-    const expiry = this.#clock.setTimer(waitMs, () => this.#changed.notify());
-    let answer = this.#read(key);
-    while (!isNewer(answer, afterVersion) && this.#mode !== 'down' && this.#clock.now() < until) {
-      await this.#changed.wait();
-      answer = this.#read(key);
+    if (!this.#admitRead()) return err({ kind: 'rate-limited' });
+    this.#pendingWatches += 1;
+    const deadlineMs = this.#clock.now() + waitMs;
+    const timeout = this.#clock.setTimer(waitMs, () => this.#valuesChanged.notify());
+    let result = this.#read(key);
+    while (!isNewer(result, afterVersion) && this.#mode !== 'down' && this.#clock.now() < deadlineMs) {
+      await this.#valuesChanged.wait();
+      result = this.#read(key);
     }
-    expiry.cancel();
-    this.#waitingWatches -= 1;
-    return answer;
+    timeout.cancel();
+    this.#pendingWatches -= 1;
+    return result;
   }
 
   #read(key: string): Result<SourceValue, ConfigurationSourceError> {
     if (this.#mode === 'down') return err({ kind: 'unavailable', detail: 'the service is down' });
-    const found = this.#served.get(key);
+    const found = this.#visibleValues.get(key);
     return found === undefined ? err({ kind: 'missing', key }) : ok(found);
   }
 
-  #countRead(): boolean {
+  /** Counts a read; returns whether it is within the limit, on which pending watches count as reads too. */
+  #admitRead(): boolean {
     this.reads += 1;
     const nowMs = this.#clock.now();
     if (nowMs - this.#windowStartMs >= MILLISECONDS_PER_SECOND) {
@@ -88,14 +92,14 @@
       this.#windowReads = 0;
     }
     this.#windowReads += 1;
-    const inForce = this.#windowReads + this.#waitingWatches;
-    this.peakReadsPerSecond = Math.max(this.peakReadsPerSecond, inForce);
-    if (inForce <= this.#readsPerSecond) return true;
+    const readsInWindow = this.#windowReads + this.#pendingWatches;
+    this.peakReadsPerSecond = Math.max(this.peakReadsPerSecond, readsInWindow);
+    if (readsInWindow <= this.#readsPerSecond) return true;
     this.refusedReads += 1;
     return false;
   }
 }
 
-function isNewer(answer: Result<SourceValue, ConfigurationSourceError>, afterVersion: number): boolean {
-  return answer.isOk() && answer.value.version > afterVersion;
+function isNewer(result: Result<SourceValue, ConfigurationSourceError>, afterVersion: number): boolean {
+  return result.isOk() && result.value.version > afterVersion;
 }
--- a/packages/standin/src/platform/machine-list-emulator.ts
+++ b/packages/standin/src/platform/machine-list-emulator.ts
@@ -1,11 +1,11 @@
 import type { Clock } from '@canvasridge/clock';
 import type { Machine } from '@canvasridge/domain';
 
-/** Machine list that shows each change only after a lag. */
+/** Emulates the machine list, on which each change becomes visible after a lag. */
 export class MachineListEmulator {
   readonly #clock: Clock;
   readonly #machines = new Map<string, Machine>();
-  #visible: readonly Machine[] = [];
+  #visibleMachines: readonly Machine[] = [];
   lagMs: number;
 
   constructor(clock: Clock, lagMs: number) {
@@ -13,25 +13,25 @@
     this.lagMs = lagMs;
   }
 
-  /** Sets a machine's state, visible after the lag; at once with `immediate`. */
+  /** Adds or updates a machine. The change is visible after the lag, or at once with `immediate`. */
   set(machine: Machine, immediate = false): void {
     this.#machines.set(machine.id, machine);
-    this.#show(immediate);
+    this.#publishList(immediate);
   }
 
-  /** Takes a machine off the list, visible after the lag. */
+  /** Removes a machine. The change is visible after the lag. */
   remove(id: string): void {
     this.#machines.delete(id);
-    this.#show(false);
+    this.#publishList(false);
   }
 
   list(): readonly Machine[] {
-    return this.#visible;
+    return this.#visibleMachines;
   }
 
-  #show(immediate: boolean): void {
+  #publishList(immediate: boolean): void {
     const snapshot = [...this.#machines.values()];
-    if (immediate) this.#visible = snapshot;
-    else this.#clock.setTimer(this.lagMs, () => (this.#visible = snapshot));
+    if (immediate) this.#visibleMachines = snapshot;
+    else this.#clock.setTimer(this.lagMs, () => (this.#visibleMachines = snapshot));
   }
 }
--- a/packages/standin/src/platform/platform-http.ts
+++ b/packages/standin/src/platform/platform-http.ts
@@ -3,12 +3,12 @@
 import type { Standin } from '../standin.js';
 
 const UNAVAILABLE = 503;
-const TOO_MANY = 429;
+const TOO_MANY_REQUESTS = 429;
 const NOT_FOUND = 404;
 
 const publishSchema = z.object({ key: z.string(), value: z.string() });
 
-/** Faults and lags that can be switched while the emulator runs; absent fields stay as they are. */
+/** Faults and lags that can be changed while the emulator runs; absent fields stay unchanged. */
 export const faultSchema = z.strictObject({
   configuration: z.enum(['up', 'down', 'stale']).optional(),
   machineListLagMs: z.number().min(0).optional(),
@@ -47,38 +47,38 @@
     .optional(),
 });
 
-export type Fault = z.infer<typeof faultSchema>;
+export type FaultChange = z.infer<typeof faultSchema>;
 
-/** HTTP of configuration service, machine list, fault switches and records. */
+/** HTTP interface of the configuration service, the machine list, fault injection, records and timeline. */
 export function platformApplication(standin: Standin): Hono {
   const app = new Hono();
   app.get('/values/:key', async (context) => {
     const key = context.req.param('key');
     const { after, wait } = context.req.query();
     const { configuration } = standin;
-    const answer =
+    const result =
       after === undefined
         ? configuration.get(key)
         : await configuration.watch(key, Number(after), Number(wait ?? '1000'));
-    if (answer.isOk()) return context.json(answer.value);
-    const status = { unavailable: UNAVAILABLE, 'rate-limited': TOO_MANY, missing: NOT_FOUND }[
-      answer.error.kind
+    if (result.isOk()) return context.json(result.value);
+    const status = { unavailable: UNAVAILABLE, 'rate-limited': TOO_MANY_REQUESTS, missing: NOT_FOUND }[
+      result.error.kind
     ];
-    return Response.json({ reason: answer.error.kind }, { status });
+    return Response.json({ reason: result.error.kind }, { status });
   });
   app.get('/machines', (context) => context.json(standin.machines.list()));
   app.post('/operator/publish', async (context) => {
-    const checked = publishSchema.safeParse(await context.req.json().catch(() => undefined));
-    if (!checked.success) return Response.json({ reason: checked.error.message }, { status: 400 });
-    const published = standin.configuration.publish(checked.data.key, checked.data.value);
+    const parsed = publishSchema.safeParse(await context.req.json().catch(() => undefined));
+    if (!parsed.success) return Response.json({ reason: parsed.error.message }, { status: 400 });
+    const published = standin.configuration.publish(parsed.data.key, parsed.data.value);
     return published.isOk()
       ? context.json({ published: true })
       : Response.json(published.error, { status: 413 });
   });
   app.post('/operator/faults', async (context) => {
-    const checked = faultSchema.safeParse(await context.req.json().catch(() => undefined));
-    if (!checked.success) return Response.json({ reason: checked.error.message }, { status: 400 });
-    standin.applyFault(checked.data);
+    const parsed = faultSchema.safeParse(await context.req.json().catch(() => undefined));
+    if (!parsed.success) return Response.json({ reason: parsed.error.message }, { status: 400 });
+    standin.applyFault(parsed.data);
     return context.json({ applied: true });
   });
   app.get('/records', (context) => context.json(standin.records()));
--- a/packages/standin/src/platform/weight-store-emulator.ts
+++ b/packages/standin/src/platform/weight-store-emulator.ts
@@ -1,18 +1,19 @@
 import type { Clock } from '@canvasridge/clock';
 
-/** Limits of the weight store. */
+/** Speed and limits of the weight store. */
 export interface WeightStoreBehaviour {
-  /** Loads a second that it serves at full speed. */
+  /** Maximum number of loads started per second. */
   loadsPerSecond: number;
-  /** Loads at once that it serves at full speed. */
+  /** Number of concurrent loads that run at full speed. */
   concurrency: number;
-  /** Length of one load at full speed, in milliseconds. */
+  /** Duration of one load at full speed, in milliseconds. */
   loadMs: number;
 }
 
+/** A load takes longer by (concurrent loads / concurrency limit) to this power, once over the limit. */
 const OVERLOAD_EXPONENT = 1.5;
 
-/** Weight store with a rate and a concurrency limit; beyond either it gets slower. */
+/** Emulates the weight store: loads beyond the rate limit wait, and those beyond the concurrency limit slow down. */
 export class WeightStoreEmulator {
   readonly behaviour: WeightStoreBehaviour;
   readonly #clock: Clock;
@@ -30,7 +31,7 @@
     return this.#active;
   }
 
-  /** Time integral of active loads over the concurrency limit, in milliseconds. */
+  /** Total transfer time of all loads divided by the concurrency limit, in milliseconds. */
   get busyMs(): number {
     return this.#busyMs;
   }
@@ -42,8 +43,8 @@
     const nowMs = this.#clock.now();
     const startMs = Math.max(nowMs, this.#nextStartMs);
     this.#nextStartMs = startMs + 1000 / this.behaviour.loadsPerSecond;
-    const crowding = Math.max(1, this.#active / this.behaviour.concurrency) ** OVERLOAD_EXPONENT;
-    const transferMs = this.behaviour.loadMs * crowding;
+    const slowdown = Math.max(1, this.#active / this.behaviour.concurrency) ** OVERLOAD_EXPONENT;
+    const transferMs = this.behaviour.loadMs * slowdown;
     this.#busyMs += transferMs / this.behaviour.concurrency;
     await this.#clock.sleep(startMs - nowMs + transferMs);
     this.#active -= 1;
--- a/packages/standin/src/process.ts
+++ b/packages/standin/src/process.ts
@@ -9,7 +9,7 @@
 import type { StandinSettings } from './settings.js';
 import { Standin } from './standin.js';
 
-/** Where the faces of an emulator listen. */
+/** A running emulator, with the URLs of its HTTP interfaces. */
 export interface StandinProcess {
   readonly standin: Standin;
   readonly platformUrl: string;
@@ -20,11 +20,11 @@
 
 type Listener = (request: IncomingMessage, response: ServerResponse) => void;
 
-/** Starts the emulator with all its HTTP faces in this process. Rejects when an address is taken. */
+/** Starts the emulator with all its HTTP interfaces in this process. Rejects if an address is in use. */
 export async function startStandinProcess(settings: StandinSettings): Promise<StandinProcess> {
   const standin = new Standin(settings, new SystemClock());
   const servers: Server[] = [];
-  const open = async (listener: Listener, address: HostPort): Promise<string> => {
+  const startServer = async (listener: Listener, address: HostPort): Promise<string> => {
     const server = createServer({ keepAliveTimeout: 30_000 }, listener);
     servers.push(server);
     return listen(server, address);
@@ -33,16 +33,19 @@
   for (const definition of settings.engines) {
     const engine = standin.engines.get(definition.id);
     if (engine !== undefined)
-      engineUrls[definition.id] = await open(engineListener(engine), definition.listen);
+      engineUrls[definition.id] = await startServer(engineListener(engine), definition.listen);
   }
   const serviceUrls: { name: string; url: string }[] = [];
   for (const [index, definition] of settings.services.entries()) {
     const service = standin.services[index];
     if (service === undefined) continue;
-    serviceUrls.push({ name: definition.name, url: await open(serviceListener(service), definition.listen) });
+    serviceUrls.push({
+      name: definition.name,
+      url: await startServer(serviceListener(service), definition.listen),
+    });
   }
   const applicationListener = getRequestListener(platformApplication(standin).fetch);
-  const platformUrl = await open(
+  const platformUrl = await startServer(
     (request, response) => void applicationListener(request, response),
     settings.listen,
   );
--- a/packages/standin/src/service/service-emulator.ts
+++ b/packages/standin/src/service/service-emulator.ts
@@ -8,15 +8,15 @@
   readonly atMs: number;
 }
 
-/** Plain service: takes a while, records each execution, answers with what it was asked. */
+/** Emulates a service other than an engine: records each call, waits for `latencyMs` and echoes the body. */
 export class ServiceEmulator {
   readonly name: string;
   readonly executions: ServiceExecution[] = [];
   readonly #clock: Clock;
   latencyMs: number;
-  /** Whether the service answers at all. */
+  /** Whether the service responds at all; false emulates an outage. */
   reachable = true;
-  /** Break the connection after executing, so that the caller of the service learns nothing. */
+  /** Whether the connection breaks after each execution, so that the client cannot know that it happened. */
   breakAfterExecution = false;
 
   constructor(name: string, clock: Clock, latencyMs: number) {
@@ -25,7 +25,7 @@
     this.latencyMs = latencyMs;
   }
 
-  /** Runs a call; undefined when the connection breaks after the execution. */
+  /** Executes a call; returns undefined if the connection is to break after the execution. */
   async call(execution: Omit<ServiceExecution, 'atMs'>, body: string): Promise<string | undefined> {
     this.executions.push({ ...execution, atMs: this.#clock.now() });
     await this.#clock.sleep(this.latencyMs);
--- a/packages/standin/src/service/service-http.ts
+++ b/packages/standin/src/service/service-http.ts
@@ -9,7 +9,7 @@
   readonly outgoing: ServerResponse;
 }
 
-/** HTTP face of an emulated plain service: any path, any method. */
+/** HTTP interface of an emulated service; accepts any path and method. */
 export function serviceListener(
   service: ServiceEmulator,
 ): (request: IncomingMessage, response: ServerResponse) => void {
@@ -25,9 +25,9 @@
       key: String(incoming.headers['idempotency-key'] ?? ''),
       path: context.req.path,
     };
-    const answer = await service.call(execution, await context.req.text());
-    if (answer !== undefined)
-      return new Response(answer, { headers: { 'content-type': 'application/json' } });
+    const responseBody = await service.call(execution, await context.req.text());
+    if (responseBody !== undefined)
+      return new Response(responseBody, { headers: { 'content-type': 'application/json' } });
     incoming.socket.destroy();
     return RESPONSE_ALREADY_SENT;
   });
--- a/packages/standin/src/settings.ts
+++ b/packages/standin/src/settings.ts
@@ -7,7 +7,7 @@
 /** Settings file of `canvasridge-standin`. docs/reference/settings.md explains each field. */
 export const standinSettingsSchema = z.strictObject({
   seed: z.int().default(1),
-  /** Configuration service, machine list and fault switches. */
+  /** Address of the configuration service, the machine list and fault injection. */
   listen: listenAddress,
   engines: z.array(
     z.strictObject({
--- a/packages/standin/src/standin.ts
+++ b/packages/standin/src/standin.ts
@@ -3,12 +3,12 @@
 import { EngineEmulator } from './engine/engine-emulator.js';
 import { ConfigurationServiceEmulator } from './platform/configuration-service-emulator.js';
 import { MachineListEmulator } from './platform/machine-list-emulator.js';
-import type { Fault } from './platform/platform-http.js';
+import type { FaultChange } from './platform/platform-http.js';
 import { WeightStoreEmulator } from './platform/weight-store-emulator.js';
 import { ServiceEmulator } from './service/service-emulator.js';
 import type { StandinSettings } from './settings.js';
 
-/** What really happened at the back ends, for those who check. */
+/** What actually happened at the back ends; checkers compare it with what callers were told. */
 export interface StandinRecords {
   readonly engines: readonly {
     readonly id: string;
@@ -47,7 +47,7 @@
   };
 }
 
-/** The whole emulated platform, without its HTTP faces. */
+/** The whole emulated platform, without its HTTP interfaces. */
 export class Standin {
   readonly telemetry: Telemetry;
   readonly weightStore: WeightStoreEmulator;
@@ -73,8 +73,8 @@
     }
   }
 
-  /** Switches faults and lags; what names nothing that exists is ignored. */
-  applyFault(fault: Fault): void {
+  /** Changes faults and lags. An unknown engine or service is ignored. */
+  applyFault(fault: FaultChange): void {
     if (fault.configuration !== undefined) this.configuration.setMode(fault.configuration);
     if (fault.machineListLagMs !== undefined) this.machines.lagMs = fault.machineListLagMs;
     if (fault.weightStore !== undefined) Object.assign(this.weightStore.behaviour, fault.weightStore);
@@ -112,7 +112,7 @@
     };
   }
 
-  #applyEngineFault(fault: NonNullable<Fault['engine']>): void {
+  #applyEngineFault(fault: NonNullable<FaultChange['engine']>): void {
     const engine = this.engines.get(fault.id);
     if (engine === undefined) return;
     if (fault.restart === true) engine.restart();
@@ -122,7 +122,7 @@
     if (fault.loadFailureShare !== undefined) engine.behaviour.loadFailureShare = fault.loadFailureShare;
   }
 
-  #applyServiceFault(fault: NonNullable<Fault['service']>): void {
+  #applyServiceFault(fault: NonNullable<FaultChange['service']>): void {
     for (const service of this.services) {
       if (service.name !== fault.name) continue;
       if (fault.reachable !== undefined) service.reachable = fault.reachable;
@@ -131,7 +131,7 @@
     }
   }
 
-  #applyMachine(machine: NonNullable<Fault['machine']>): void {
+  #applyMachine(machine: NonNullable<FaultChange['machine']>): void {
     const { id, role, state, gossip } = machine;
     if (state === 'gone') this.machines.remove(id);
     else this.machines.set({ id, role, state, gossip });
--- a/packages/standin/test/engine.test.ts
+++ b/packages/standin/test/engine.test.ts
@@ -7,7 +7,7 @@
   type SubmittedRequest,
 } from '../src/index.js';
 
-function newEngine(clock: VirtualClock, checksFence = true): EngineEmulator {
+function createEngine(clock: VirtualClock, checksFence = true): EngineEmulator {
   const store = new WeightStoreEmulator({ loadsPerSecond: 2, concurrency: 1, loadMs: 500 }, clock);
   const identity = { id: 'e', base: 'b', slots: 1, maxBatch: 2, checksFence };
   return new EngineEmulator(identity, DEFAULT_ENGINE_BEHAVIOUR, store, clock, 1);
@@ -21,31 +21,31 @@
 const load = { kind: 'load', adapter: 'a', version: 'v1' } as const;
 const unload = { kind: 'unload', adapter: 'a', version: 'v1' } as const;
 
-async function claimedAndLoaded(clock: VirtualClock, checksFence = true): Promise<EngineEmulator> {
-  const engine = newEngine(clock, checksFence);
+async function createLoadedEngine(clock: VirtualClock, checksFence = true): Promise<EngineEmulator> {
+  const engine = createEngine(clock, checksFence);
   await engine.order(5, { kind: 'claim', holder: 'h', leaseMs: 1000 });
   void engine.order(5, load);
   await clock.runUntil(clock.now() + 1500);
   return engine;
 }
 
-test('an engine that checks fences refuses old and unclaimed ones, for orders and requests', async (t) => {
+test('an engine that checks fences refuses orders and requests with a stale fence', async (t) => {
   const clock = new VirtualClock();
-  const engine = await claimedAndLoaded(clock);
+  const engine = await createLoadedEngine(clock);
   t.is((await engine.order(4, unload)).kind, 'stale-fence');
   t.is((await engine.order(5, { kind: 'claim', holder: 'x', leaseMs: 1 })).kind, 'stale-fence');
   t.deepEqual(engine.submit(submission(4)), { kind: 'stale-fence', currentFence: 5 });
   t.is(engine.record.executions.length, 0);
 });
 
-test('an engine that checks none takes orders of anybody', async (t) => {
-  const engine = await claimedAndLoaded(new VirtualClock(), false);
+test('an engine that does not check fences accepts orders with any fence', async (t) => {
+  const engine = await createLoadedEngine(new VirtualClock(), false);
   t.is((await engine.order(1, unload)).kind, 'done');
 });
 
-test('a generation produces its tokens and can be resumed after its reader went away', async (t) => {
+test('a generation produces its tokens and can be resumed after its reader disconnected', async (t) => {
   const clock = new VirtualClock();
-  const engine = await claimedAndLoaded(clock);
+  const engine = await createLoadedEngine(clock);
   const sequence = engine.submit(submission(5));
   if ('kind' in sequence) return t.fail(sequence.kind);
   const seen: number[] = [];
@@ -66,17 +66,17 @@
   t.true(ended);
 });
 
-test('unloading under a generation is recorded, for checkers to see', async (t) => {
+test('unloading an adapter that a generation uses is recorded', async (t) => {
   const clock = new VirtualClock();
-  const engine = await claimedAndLoaded(clock);
+  const engine = await createLoadedEngine(clock);
   engine.submit(submission(5));
   await engine.order(5, unload);
   t.is(engine.record.unloadedWhileRunning.length, 1);
 });
 
-test('a restart loses adapters and fence, and breaks what runs', async (t) => {
+test('a restart drops adapters and fence and breaks running generations', async (t) => {
   const clock = new VirtualClock();
-  const engine = await claimedAndLoaded(clock);
+  const engine = await createLoadedEngine(clock);
   const sequence = engine.submit(submission(5));
   engine.restart();
   t.true('state' in sequence && sequence.state === 'broken');
--- a/packages/telemetry/src/event-logger.ts
+++ b/packages/telemetry/src/event-logger.ts
@@ -1,6 +1,6 @@
 import { createConsola, type ConsolaInstance } from 'consola';
 
-/** Values of one log line. Undefined values are left out. */
+/** Fields of one log line. Undefined values are left out. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
 export type LogLevel = 'error' | 'warn' | 'info' | 'debug';
@@ -8,7 +8,7 @@
 const LEVEL_NUMBERS: Readonly<Record<LogLevel, number>> = { error: 0, warn: 1, info: 3, debug: 4 };
 const PLAIN_VALUE = /^[\w.:/@%+-]+$/;
 
-/** `key=value` pairs in the given order; values with other than plain characters are JSON-quoted. */
+/** Formats fields as `key=value` pairs in the given order; values with other than plain characters are JSON-quoted. */
 export function formatFields(fields: LogFields): string {
   const parts: string[] = [];
   for (const [key, value] of Object.entries(fields)) {
@@ -19,24 +19,24 @@
   return parts.join(' ');
 }
 
-/** What a line tells of: one request, of which there are many, or the state of the process. */
+/** What a log line is about: a single request, or the state of the process. Request lines are far more frequent. */
 export type LineSubject = 'request' | 'state';
 
-/** Events of single requests begin so. */
-const REQUEST_EVENTS = ['request.', 'slot.'];
+/** Prefixes of the events that are about a single request. */
+const REQUEST_EVENT_PREFIXES = ['request.', 'slot.'];
 
 function subjectOf(event: string): LineSubject {
-  return REQUEST_EVENTS.some((prefix) => event.startsWith(prefix)) ? 'request' : 'state';
+  return REQUEST_EVENT_PREFIXES.some((prefix) => event.startsWith(prefix)) ? 'request' : 'state';
 }
 
-/** Writes one line of key=value pairs for each event. */
+/** Logs each event as one line of key=value pairs. */
 export class EventLogger {
   readonly #consola: ConsolaInstance;
   readonly #process: string;
 
   /**
-   * @param processName goes into every line as `process=`
-   * @param writeLine where lines go; standard error if absent
+   * @param processName value of the field `process` in every line
+   * @param writeLine receives each line; by default lines go to standard error
    */
   constructor(
     processName: string,
--- a/packages/telemetry/src/event-ring.ts
+++ b/packages/telemetry/src/event-ring.ts
@@ -2,25 +2,25 @@
 export interface TimelineEvent {
   /** Milliseconds since the Unix epoch. */
   readonly atMs: number;
-  /** Length in milliseconds; absent for a moment. */
+  /** Duration in milliseconds; absent for an event without one. */
   readonly durationMs?: number;
   readonly name: string;
-  /** Request that caused the event, the same in every process it passes. */
+  /** Id of the request that caused the event; the same in every process that handles the request. */
   readonly requestId?: string;
-  /** What the event is about: an engine, a node, a revision. */
+  /** What the event is about, such as an engine, a node or a revision. */
   readonly subject?: string;
   readonly detail?: string;
 }
 
-/** The events of one process. */
+/** Timeline of one process, as its `/timeline` endpoint returns it. */
 export interface TimelineDump {
   readonly process: string;
   readonly events: readonly TimelineEvent[];
-  /** Events overwritten because the ring was full. */
+  /** Number of events that were overwritten because the ring was full. */
   readonly dropped: number;
 }
 
-/** Keeps the newest events of a process in constant memory. */
+/** Ring buffer of the newest events of a process. */
 export class EventRing {
   readonly #slots: (TimelineEvent | undefined)[];
   readonly #process: string;
@@ -36,7 +36,7 @@
     this.#written += 1;
   }
 
-  /** Oldest first. */
+  /** Returns the events in the buffer, oldest first. */
   dump(): TimelineDump {
     const capacity = this.#slots.length;
     const first = Math.max(0, this.#written - capacity);
--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -1,4 +1,4 @@
-/** What a process shows of itself: logs, metrics and timeline events. */
+/** Logs, metrics and timeline events of a process. */
 export {
   EventLogger,
   formatFields,
--- a/packages/telemetry/src/line-sink.ts
+++ b/packages/telemetry/src/line-sink.ts
@@ -1,19 +1,22 @@
 import { write } from 'node:fs';
 import type { LineSubject } from './event-logger.js';
 
-/** Lines of so long are written together: each write wakes a second thread. So much is lost with a process that is killed. */
+/**
+ * Lines are batched for this long, since each write wakes a thread of the pool. A process that is killed loses at most
+ * the lines of this time.
+ */
 const FLUSH_AFTER_MS = 200;
-const REPORT_PERIOD_MS = 5000;
+const DROP_REPORT_INTERVAL_MS = 5000;
 
 /**
- * Part of the lines that is kept for the state of the process: a leader under load writes some hundred lines of requests
- * a second, and its state has to be seen just then.
+ * Fraction of the line rate that is reserved for lines about the state of the process: a leader under load logs some
+ * hundred request lines a second, and that is when its state has to stay visible.
  */
-const STATE_SHARE = 0.2;
+const STATE_LINE_FRACTION = 0.2;
 
 /** Bounds of a {@link LineSink}. */
 export interface LineSinkLimits {
-  /** Bytes that may wait to be written. */
+  /** Maximum size of the lines that wait to be written, in bytes. */
   readonly pendingBytes: number;
   readonly linesPerSecond: number;
 }
@@ -21,8 +24,9 @@
 export const DEFAULT_LINE_SINK_LIMITS: LineSinkLimits = { pendingBytes: 262_144, linesPerSecond: 400 };
 
 /**
- * Writes lines to a file descriptor without ever blocking the process: writes go through the thread pool, one
- * at a time, and lines beyond a rate or a size that waits are dropped and counted. The count is written out.
+ * Writes lines to a file descriptor without ever blocking the process: writes go through the thread pool, one at a
+ * time. Lines beyond the rate limit, or beyond the limit of waiting bytes, are dropped and counted; the count is
+ * logged as `log.dropped`.
  */
 export class LineSink {
   readonly #descriptor: number;
@@ -34,7 +38,7 @@
   #allowance: number;
   #allowanceAtMs = performance.now();
   #dropped = 0;
-  #droppedReportedMs = 0;
+  #droppedReportedAtMs = 0;
 
   constructor(descriptor: number, limits: LineSinkLimits = DEFAULT_LINE_SINK_LIMITS) {
     this.#descriptor = descriptor;
@@ -42,13 +46,13 @@
     this.#allowance = limits.linesPerSecond;
   }
 
-  /** Lines left out so far. */
+  /** Number of lines dropped so far. */
   get dropped(): number {
     return this.#dropped;
   }
 
   writeLine(line: string, subject: LineSubject = 'state'): void {
-    if (!this.#allowed(subject) || this.#pendingBytes + line.length > this.#limits.pendingBytes) {
+    if (!this.#takeAllowance(subject) || this.#pendingBytes + line.length > this.#limits.pendingBytes) {
       this.#dropped += 1;
       return;
     }
@@ -57,7 +61,7 @@
     this.#timer ??= setTimeout(() => this.flush(), FLUSH_AFTER_MS);
   }
 
-  /** Starts to write what waits. */
+  /** Starts to write the waiting lines, unless a write is running. */
   flush(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
@@ -86,22 +90,22 @@
     });
   }
 
-  #allowed(subject: LineSubject): boolean {
+  #takeAllowance(subject: LineSubject): boolean {
     const nowMs = performance.now();
     const { linesPerSecond } = this.#limits;
     const earned = ((nowMs - this.#allowanceAtMs) / 1000) * linesPerSecond;
     this.#allowance = Math.min(linesPerSecond, this.#allowance + earned);
     this.#allowanceAtMs = nowMs;
-    const kept = subject === 'request' ? linesPerSecond * STATE_SHARE : 0;
-    if (this.#allowance < 1 + kept) return false;
+    const reserved = subject === 'request' ? linesPerSecond * STATE_LINE_FRACTION : 0;
+    if (this.#allowance < 1 + reserved) return false;
     this.#allowance -= 1;
     return true;
   }
 
   #reportDropped(): void {
     const nowMs = performance.now();
-    if (this.#dropped === 0 || nowMs - this.#droppedReportedMs < REPORT_PERIOD_MS) return;
-    this.#droppedReportedMs = nowMs;
+    if (this.#dropped === 0 || nowMs - this.#droppedReportedAtMs < DROP_REPORT_INTERVAL_MS) return;
+    this.#droppedReportedAtMs = nowMs;
     this.#pending.push(`level=warn event=log.dropped lines=${this.#dropped}`);
   }
 }
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -1,6 +1,6 @@
 import { StatsD } from 'hot-shots';
 
-/** Every metric: name, kind, unit and meaning. docs/reference/metrics.md lists the same rows. */
+/** All metrics with name, kind, unit and meaning. Keep docs/reference/metrics.md in step with this table. */
 export const METRICS = {
   'requests.accepted': { kind: 'counter', unit: 'requests', meaning: 'requests that passed admission' },
   'requests.completed': { kind: 'counter', unit: 'requests', meaning: 'requests answered whole' },
@@ -45,7 +45,7 @@
 
 export type MetricName = keyof typeof METRICS;
 
-/** Sink of measurements. Tags are appended in StatsD form (`key:value`). */
+/** Receives measurements. Tags have the StatsD form `key:value`. */
 export interface Metrics {
   count(name: MetricName, value?: number, tags?: readonly string[]): void;
   gauge(name: MetricName, value: number, tags?: readonly string[]): void;
@@ -53,7 +53,7 @@
   close(): void;
 }
 
-/** Sends metrics as StatsD datagrams; lines are buffered to one datagram. */
+/** Sends metrics over StatsD; several metrics are buffered into one datagram. */
 export class StatsdMetrics implements Metrics {
   readonly #client: StatsD;
 
@@ -64,7 +64,7 @@
       prefix: 'canvasridge.',
       globalTags: { process: processName },
       maxBufferSize: 1200,
-      errorHandler: () => undefined, // metrics are best effort: a missing collector must not disturb serving
+      errorHandler: () => undefined, // best effort: a missing collector must not disturb request handling
     });
   }
 
@@ -85,7 +85,7 @@
   }
 }
 
-/** Drops everything: used where no collector is set. */
+/** Discards all metrics; used where no collector is configured. */
 export class NullMetrics implements Metrics {
   count(): void {}
   gauge(): void {}
--- a/packages/telemetry/src/telemetry.ts
+++ b/packages/telemetry/src/telemetry.ts
@@ -6,7 +6,7 @@
 
 const DEFAULT_RING_CAPACITY = 4096;
 
-/** Log, metrics and timeline of one process, handed to each part of it. */
+/** Logger, metrics and timeline of one process, shared by all its components. */
 export class Telemetry {
   readonly ring: EventRing;
   readonly metrics: Metrics;
@@ -26,7 +26,7 @@
     this.ring = new EventRing(options.processName, options.ringCapacity ?? DEFAULT_RING_CAPACITY);
   }
 
-  /** Logs an event and puts it on the timeline. */
+  /** Logs an event and adds it to the timeline. */
   event(level: LogLevel, name: string, subject: string, fields: LogFields = {}): void {
     this.#logger?.log(level, name, { subject, ...fields });
     const detail = Object.entries(fields)
@@ -36,7 +36,7 @@
     this.ring.record({ atMs: this.#clock.wallTime(), name, subject, detail });
   }
 
-  /** Puts a step of a request on the timeline, without a log line. */
+  /** Adds a step of a request to the timeline without logging it. */
   step(name: string, requestId: string, subject: string, startedAtMs?: number): void {
     const nowMs = this.#clock.wallTime();
     const event: TimelineEvent =
