--- a/scripts/ablation.mjs
+++ b/scripts/ablation.mjs
@@ -1,12 +1,12 @@
 /**
- * Measures what each mechanism of the slot policy is worth: plays days of a deployment with all of them on, then
- * with each one off, and prints the mean worth and its difference.
+ * Ablation study of the slot policy: simulates days of a deployment with all mechanisms enabled, then with each one
+ * disabled, and prints the mean of the bench's figure "worth" and its difference for each.
  *
  *   node scripts/ablation.mjs --bench PROGRAM --site SITE --work DIR [--days a,b] [--seeds 0,7] [--jobs 6] [--off x,y]
  *
- * PROGRAM is the users' bench. Copies of the checkout are made below DIR, one for each mechanism, which differ in
- * the setting `switchedOff` of the deployment's template only. Seed 0 stands for the day's own seed. The entries
- * that the bench adds to its journal are copied back.
+ * PROGRAM is the users' benchmark program. The script makes copies of the checkout below DIR, one for each mechanism
+ * and one for all enabled, which differ only in the setting `switchedOff` of the deployment template. Seed 0 stands
+ * for the default seed of the day. The journal entries that the bench writes in the copies are copied back.
  */
 import { spawn } from 'node:child_process';
 import { cp, mkdir, readFile, rm, writeFile } from 'node:fs/promises';
@@ -15,7 +15,7 @@
 import { MECHANISMS } from '@canvasridge/slots';
 
 const TEMPLATE = 'deploy/node-settings.json.template';
-const LEFT_OUT = new Set(['.git', 'target']);
+const EXCLUDED_PATHS = new Set(['.git', 'target']);
 
 const { values } = parseArgs({
   options: {
@@ -36,12 +36,12 @@
 const unknown = values.off.split(',').filter((name) => !MECHANISMS.includes(name));
 if (unknown.length > 0) throw new Error(`--off ${unknown}: give some of ${MECHANISMS.join(', ')}`);
 
-/** Copies the checkout and switches a mechanism off in it. */
-async function copyWithout(mechanism) {
+/** Copies the checkout, disables one mechanism in the copy (none if undefined), and builds it. Returns its folder. */
+async function buildVariant(mechanism) {
   const folder = join(resolve(values.work), mechanism ?? 'all-on');
   await rm(folder, { recursive: true, force: true });
   await mkdir(folder, { recursive: true });
-  const filter = (path) => !LEFT_OUT.has(path.slice(root.length + 1));
+  const filter = (path) => !EXCLUDED_PATHS.has(path.slice(root.length + 1));
   await cp(root, folder, { recursive: true, filter, verbatimSymlinks: true });
   await run('git', ['init', '-q'], folder);
   const file = join(folder, TEMPLATE);
@@ -52,18 +52,19 @@
   return folder;
 }
 
-/** Output of a program; it may fail. */
+/** Runs a program and returns its output (standard output and error), whatever its exit code. */
 function run(program, args, cwd) {
-  return new Promise((done) => {
+  return new Promise((resolveOutput) => {
     const child = spawn(program, args, { cwd, stdio: ['ignore', 'pipe', 'pipe'] });
     let text = '';
     child.stdout.on('data', (chunk) => (text += chunk));
     child.stderr.on('data', (chunk) => (text += chunk));
-    child.on('close', () => done(text));
+    child.on('close', () => resolveOutput(text));
   });
 }
 
-async function play(folder, mechanism, day, seed) {
+/** Simulates one day; returns its worth, and the text after BROKEN if the bench printed one for it. */
+async function runDay(folder, mechanism, day, seed) {
   const why = `Ablation: ${mechanism === undefined ? 'all mechanisms on' : `${mechanism} off`}`;
   const seedArgs = seed === '0' ? [] : ['--seed', seed];
   const text = await run(values.bench, ['run', site, day, ...seedArgs, '--why', why], folder);
@@ -74,16 +75,16 @@
 
 const variants = [undefined, ...values.off.split(',').filter((name) => name !== '')];
 const folders = [];
-for (const mechanism of variants) folders.push(await copyWithout(mechanism));
-const plays = [];
+for (const mechanism of variants) folders.push(await buildVariant(mechanism));
+const pendingRuns = [];
 for (const seed of values.seeds.split(','))
   for (const day of values.days.split(','))
     for (const [index, mechanism] of variants.entries())
-      plays.push({ folder: folders[index], mechanism, day, seed });
+      pendingRuns.push({ folder: folders[index], mechanism, day, seed });
 const results = new Map(variants.map((mechanism) => [mechanism, []]));
 async function worker() {
-  for (let next = plays.shift(); next !== undefined; next = plays.shift()) {
-    const result = await play(next.folder, next.mechanism, next.day, next.seed);
+  for (let next = pendingRuns.shift(); next !== undefined; next = pendingRuns.shift()) {
+    const result = await runDay(next.folder, next.mechanism, next.day, next.seed);
     results.get(next.mechanism).push(result.worth);
     if (result.broken !== undefined)
       console.log(`${next.mechanism ?? 'all on'} ${next.day} ${result.broken}`);
@@ -92,11 +93,11 @@
 await Promise.all(Array.from({ length: Number(values.jobs) }, worker));
 for (const folder of folders) await cp(join(folder, 'journal'), join(root, 'journal'), { recursive: true });
 const mean = (list) => list.reduce((sum, value) => sum + value, 0) / list.length;
-const base = mean(results.get(undefined));
+const baseline = mean(results.get(undefined));
 console.log(`| switched off | mean worth | difference | runs |\n| --- | --- | --- | --- |`);
 for (const [mechanism, worths] of results) {
   const value = mean(worths);
   console.log(
-    `| ${mechanism ?? 'none'} | ${value.toFixed(3)} | ${(value - base).toFixed(3)} | ${worths.length} |`,
+    `| ${mechanism ?? 'none'} | ${value.toFixed(3)} | ${(value - baseline).toFixed(3)} | ${worths.length} |`,
   );
 }
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,32 +1,36 @@
 /**
- * Builds the program that runs on the platform into `target/`: `canvasridge.cjs`, which is what to start, and beside it
- * `program.cjs` with all its code and `program.cache`, that code as V8 has compiled it.
+ * Bundles the program that runs on the platform into `target/`: the entry point `canvasridge.cjs`, the application code
+ * `program.cjs`, and `program.cache`, the V8 code cache of `program.cjs`.
  *
- * A process that starts again after a loss of power serves nobody until its code is loaded, and machines have a third
- * of a core. Processor time from the start until all sockets listen, beside other work on the machine, median of eight
- * starts, twice: one module with all of its libraries 0.46 and 0.52 s, as built here 0.29 and 0.24 s.
+ * Short start-up matters because a process that restarts after a power failure serves no requests until its code is
+ * loaded, and a machine has only a third of a core. Processor time from the start until all sockets listen (median of
+ * eight starts, measured twice, with other work on the machine): 0.46 and 0.52 s for one module with all libraries,
+ * 0.29 and 0.24 s for this bundle.
  */
 import { spawnSync } from 'node:child_process';
 import { createHash } from 'node:crypto';
 import { readFileSync } from 'node:fs';
 import { build } from 'esbuild';
 
-const compiled = spawnSync('npx', ['tsc', '-b', 'platform'], { stdio: 'inherit' });
-if (compiled.status !== 0) process.exit(1);
+const compilation = spawnSync('npx', ['tsc', '-b', 'platform'], { stdio: 'inherit' });
+if (compilation.status !== 0) process.exit(1);
 
 /**
- * Parts of undici that its index loads and this program does not use: a browser's interface, test doubles, caches; and
- * HTTP/2, which its client loads.
+ * Parts of undici that the program does not use: the web APIs, mocks, caches and interceptors that its index loads, and
+ * the HTTP/2 client that its client loads.
  */
 const UNUSED_PARTS = /^\.\/(lib\/(web|mock|cache|interceptor)\/|client-h2\.js$)/;
-const WHO_LOADS_THEM = /[\\/]undici[\\/](index|lib[\\/]dispatcher[\\/]client)\.js$/;
+const IMPORTERS_OF_UNUSED_PARTS = /[\\/]undici[\\/](index|lib[\\/]dispatcher[\\/]client)\.js$/;
 
-/** Leaves those parts out, and native code that a codec can do without. Modules that need a part for themselves still get it. */
-const withoutUnusedParts = {
+/**
+ * Replaces the unused parts by a stub where one of IMPORTERS_OF_UNUSED_PARTS imports them; other importers still get
+ * them. Also leaves out msgpackr's native extension, which msgpackr can do without.
+ */
+const stubUnusedParts = {
   name: 'without-unused-parts',
   setup({ onResolve, onLoad }) {
     onResolve({ filter: UNUSED_PARTS }, ({ importer }) =>
-      WHO_LOADS_THEM.test(importer) ? { path: 'unused', namespace: 'unused' } : undefined,
+      IMPORTERS_OF_UNUSED_PARTS.test(importer) ? { path: 'unused', namespace: 'unused' } : undefined,
     );
     onResolve({ filter: /^msgpackr-extract$/ }, () => ({ path: 'missing', namespace: 'unused' }));
     onLoad({ filter: /^unused$/, namespace: 'unused' }, () => ({
@@ -38,7 +42,7 @@
   },
 };
 
-/** Enough to tell builds of one history apart. */
+/** Length of the build id: enough digits to distinguish the builds of this repository. */
 const BUILD_ID_DIGITS = 12;
 
 const shared = { bundle: true, platform: 'node', format: 'cjs', target: 'node20' };
@@ -46,7 +50,7 @@
   ...shared,
   entryPoints: ['platform/dist/src/program.js'],
   outfile: 'target/program.cjs',
-  plugins: [withoutUnusedParts],
+  plugins: [stubUnusedParts],
 });
 const digest = createHash('sha256').update(readFileSync('target/program.cjs')).digest('hex');
 await build({
@@ -56,7 +60,7 @@
   define: { BUILD_ID: JSON.stringify(digest.slice(0, BUILD_ID_DIGITS)) },
 });
 
-// V8 takes compiled code only under the flags under which it was written.
+// V8 accepts a code cache only under the same flags as those under which it was written.
 const flags = /^run = "node (.*) target\/canvasridge\.cjs"$/m.exec(
   readFileSync('deploy/system.toml', 'utf8'),
 );
--- a/scripts/record-peer-messages.mjs
+++ b/scripts/record-peer-messages.mjs
@@ -1,6 +1,7 @@
 /**
- * Records the messages by which nodes of this build tell each other of the published state, to be kept as
- * packages/gateway/test/recorded/COMMIT.json: later builds have to read them, and to send what this one reads.
+ * Records the messages with which nodes of this build exchange the published state, as
+ * packages/gateway/test/recorded/COMMIT.json. Compatibility: later builds have to read these messages, and to send
+ * messages that this build can read.
  * Usage, after `npm run build`: node scripts/record-peer-messages.mjs COMMIT
  */
 import { writeFileSync } from 'node:fs';
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,22 +1,22 @@
 /**
- * Builds, runs all tests with ava, and ends with the line `N passed, N failed`. Tests that KNOWN-RED.txt lists (one a
- * line: title | cause | issue; three at the most) may fail: they are printed and not counted. A listed test that
- * passes, or that does not exist, fails the run, so that the list tells what is red and nothing else.
+ * Builds the project, runs all tests with ava, and prints `N passed, N failed` as the last line. Tests listed in
+ * KNOWN-RED.txt (one per line: title | cause | issue; at most three) may fail: they are printed as `known red` and not
+ * counted. A listed test that passes or does not exist fails a full run, so that the list has only failing tests.
  */
 import { spawn, spawnSync } from 'node:child_process';
 import { existsSync, readFileSync } from 'node:fs';
 import { createInterface } from 'node:readline';
 
 const KNOWN_RED_FILE = 'KNOWN-RED.txt';
-const MOST_KNOWN_RED = 3;
+const MAX_KNOWN_RED = 3;
 
 const build = spawnSync('npx', ['tsc', '-b'], { stdio: 'inherit' });
 if (build.status !== 0) process.exit(1);
 
 const extraArguments = process.argv.slice(2);
 const knownRed = readKnownRed();
-if (knownRed.length > MOST_KNOWN_RED) {
-  console.log(`${KNOWN_RED_FILE} lists ${knownRed.length} tests, ${MOST_KNOWN_RED} are allowed`);
+if (knownRed.length > MAX_KNOWN_RED) {
+  console.log(`${KNOWN_RED_FILE} lists ${knownRed.length} tests, ${MAX_KNOWN_RED} are allowed`);
   process.exit(1);
 }
 
@@ -25,29 +25,29 @@
 });
 let passed = 0;
 let failed = 0;
-let showing = false;
-const seenRed = new Set();
+let isPrinting = false;
+const failedKnownRed = new Set();
 for await (const line of createInterface({ input: ava.stdout })) {
   const result = /^(ok|not ok) \d+ - (.*)$/.exec(line);
-  if (result !== null) showing = count(result[1] === 'ok', result[2]);
+  if (result !== null) isPrinting = count(result[1] === 'ok', result[2]);
   const isBailOut = line.startsWith('Bail out');
   if (isBailOut) failed += 1;
-  if (showing || isBailOut) console.log(line);
+  if (isPrinting || isBailOut) console.log(line);
 }
 const code = ava.exitCode ?? (await new Promise((resolve) => ava.once('exit', resolve)));
-if (code !== 0 && failed === 0 && seenRed.size === 0) failed = 1;
+if (code !== 0 && failed === 0 && failedKnownRed.size === 0) failed = 1;
 reportKnownRed();
 console.log(`${passed} passed, ${failed} failed`);
 process.exit(failed === 0 ? 0 : 1);
 
-/** @returns {string[]} titles of the tests that may fail */
+/** @returns {string[]} titles of the tests that may fail, as KNOWN-RED.txt lists them */
 function readKnownRed() {
   if (!existsSync(KNOWN_RED_FILE)) return [];
   const lines = readFileSync(KNOWN_RED_FILE, 'utf8').split('\n');
   return lines.map((line) => line.split(' | ')[0].trim()).filter((title) => title !== '');
 }
 
-/** Counts one result. Returns whether what follows it is to be shown. */
+/** Counts one test result. Returns whether to print the result and the lines after it. */
 function count(isPass, name) {
   const title = knownRed.find((known) => name.endsWith(known));
   if (isPass) {
@@ -58,17 +58,18 @@
     failed += 1;
     return true;
   }
-  seenRed.add(title);
+  failedKnownRed.add(title);
   return false;
 }
 
+/** Prints the listed tests that failed, and counts those that did not as failures. */
 function reportKnownRed() {
   for (const title of knownRed) {
-    if (seenRed.has(title)) {
+    if (failedKnownRed.has(title)) {
       console.log(`known red: ${title}`);
       continue;
     }
-    // A run of chosen files does not hold all tests.
+    // Arguments select some test files, so a listed test may not have run.
     if (extraArguments.length > 0) continue;
     console.log(`${KNOWN_RED_FILE} lists a test that did not fail: ${title}`);
     failed += 1;
