--- a/packages/load/src/callers/caller.ts
+++ b/packages/load/src/callers/caller.ts
@@ -96,7 +96,7 @@
     return toCallResult(call, attempts, last, firstTokenMs, transport.now() - startedAtMs);
   }
 
-  /** Waits until the directory names a home for an at-most-once call; returns an empty string if it never does. */
+  /** Waits until the directory names a home, before an at-most-once call is sent. Empty if it never names one. */
   async #resolveHome(call: Call): Promise<string> {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       const { home } = await this.#endpoints(call);
@@ -110,11 +110,11 @@
     const key = directoryKey(call);
     const cached = this.#directory.get(key);
     if (cached !== undefined && cached.expiresAtMs > this.#transport.now()) return cached;
-    for (const base of this.#transport.bootstrapUrls()) {
-      const answer = await this.#transport.endpoints(base, key);
-      if (answer === undefined) continue;
-      this.#directory.set(key, { ...answer, expiresAtMs: this.#transport.now() + answer.ttlMs });
-      return answer;
+    for (const nodeUrl of this.#transport.bootstrapUrls()) {
+      const endpoints = await this.#transport.endpoints(nodeUrl, key);
+      if (endpoints === undefined) continue;
+      this.#directory.set(key, { ...endpoints, expiresAtMs: this.#transport.now() + endpoints.ttlMs });
+      return endpoints;
     }
     return { urls: [], home: '', ttlMs: 0 };
   }
@@ -154,6 +154,7 @@
   return { [Header.repeatable]: 'no', [Header.idempotencyKey]: call.id, [Header.home]: home };
 }
 
+/** Model to ask the directory for, empty for services; also the key of the cached response. */
 function directoryKey(call: Call): string {
   return isService(call) ? '' : call.target;
 }
--- a/packages/load/src/faults/checker.ts
+++ b/packages/load/src/faults/checker.ts
@@ -74,9 +74,9 @@
 
   #compareDigest(id: string, head: RevisionHead | undefined): void {
     if (head === undefined) return;
-    const known = this.#digestByRevision.get(head.revision);
-    if (known === undefined) this.#digestByRevision.set(head.revision, head.digest);
-    else if (known !== head.digest)
+    const knownDigest = this.#digestByRevision.get(head.revision);
+    if (knownDigest === undefined) this.#digestByRevision.set(head.revision, head.digest);
+    else if (knownDigest !== head.digest)
       this.violations.push(`${id} has another revision ${head.revision} in force`);
   }
 }
--- a/packages/load/src/simulation/engine-ports.ts
+++ b/packages/load/src/simulation/engine-ports.ts
@@ -119,7 +119,7 @@
     return new ResultAsync(response);
   }
 
-  /** Executes an order after a random delay, like one that was held in a buffer while its sender gave up waiting. */
+  /** Executes an order after a random delay, as if it was held in a buffer. Its sender gets no reply. */
   #orderLate(fence: number, order: EngineOrder): void {
     const delayMs = this.#network.random.next() * this.#faults.maxDelayMs;
     this.#network.clock.setTimer(delayMs, () => void this.#engine.order(fence, order));
--- a/packages/standin/src/engine/engine-emulator.ts
+++ b/packages/standin/src/engine/engine-emulator.ts
@@ -26,7 +26,7 @@
   | { readonly kind: 'full' }
   | { readonly kind: 'draining' };
 
-/** Ended generations beyond this number of kept ones are forgotten, oldest first, and can no longer be resumed. */
+/** Beyond this number of generations, ended ones are forgotten, oldest first, and can no longer be resumed. */
 const MAX_KEPT_SEQUENCES = 512;
 
 /**
@@ -139,7 +139,7 @@
     }
   }
 
-  /** Returns the newest snapshot that is at least `reportLagMs` old. */
+  /** Returns the newest snapshot that is at least `reportLagMs` old, or the oldest one if all are younger. */
   report(): EngineReport {
     const nowMs = this.#clock.now();
     const latestAllowedMs = nowMs - this.behaviour.reportLagMs;
--- a/packages/telemetry/src/event-logger.ts
+++ b/packages/telemetry/src/event-logger.ts
@@ -20,12 +20,12 @@
 }
 
 /** What a log line is about: a single request, or the state of the process. Request lines are far more frequent. */
-export type LineSubject = 'request' | 'state';
+export type LineCategory = 'request' | 'state';
 
 /** Prefixes of the events that are about a single request. */
 const REQUEST_EVENT_PREFIXES = ['request.', 'slot.'];
 
-function subjectOf(event: string): LineSubject {
+function categoryOf(event: string): LineCategory {
   return REQUEST_EVENT_PREFIXES.some((prefix) => event.startsWith(prefix)) ? 'request' : 'state';
 }
 
@@ -41,12 +41,12 @@
   constructor(
     processName: string,
     level: LogLevel,
-    writeLine: (line: string, subject: LineSubject) => void = writeToStandardError,
+    writeLine: (line: string, category: LineCategory) => void = writeToStandardError,
   ) {
     this.#process = processName;
     this.#consola = createConsola({
       level: LEVEL_NUMBERS[level],
-      reporters: [{ log: ({ args }) => writeLine(String(args[0]), args[1] as LineSubject) }],
+      reporters: [{ log: ({ args }) => writeLine(String(args[0]), args[1] as LineCategory) }],
     });
   }
 
@@ -54,7 +54,7 @@
     if (LEVEL_NUMBERS[level] > this.#consola.level) return;
     const time = new Date().toISOString();
     const line = formatFields({ time, level, process: this.#process, event, ...fields });
-    this.#consola[level](line, subjectOf(event));
+    this.#consola[level](line, categoryOf(event));
   }
 }
 
--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -2,7 +2,7 @@
 export {
   EventLogger,
   formatFields,
-  type LineSubject,
+  type LineCategory,
   type LogFields,
   type LogLevel,
 } from './event-logger.js';
--- a/packages/telemetry/src/line-sink.ts
+++ b/packages/telemetry/src/line-sink.ts
@@ -1,5 +1,5 @@
 import { write } from 'node:fs';
-import type { LineSubject } from './event-logger.js';
+import type { LineCategory } from './event-logger.js';
 
 /**
  * Lines are batched for this long, since each write wakes a thread of the pool. A process that is killed loses at most
@@ -51,8 +51,8 @@
     return this.#dropped;
   }
 
-  writeLine(line: string, subject: LineSubject = 'state'): void {
-    if (!this.#takeAllowance(subject) || this.#pendingBytes + line.length > this.#limits.pendingBytes) {
+  writeLine(line: string, category: LineCategory = 'state'): void {
+    if (!this.#takeAllowance(category) || this.#pendingBytes + line.length > this.#limits.pendingBytes) {
       this.#dropped += 1;
       return;
     }
@@ -90,13 +90,13 @@
     });
   }
 
-  #takeAllowance(subject: LineSubject): boolean {
+  #takeAllowance(category: LineCategory): boolean {
     const nowMs = performance.now();
     const { linesPerSecond } = this.#limits;
     const earned = ((nowMs - this.#allowanceAtMs) / 1000) * linesPerSecond;
     this.#allowance = Math.min(linesPerSecond, this.#allowance + earned);
     this.#allowanceAtMs = nowMs;
-    const reserved = subject === 'request' ? linesPerSecond * STATE_LINE_FRACTION : 0;
+    const reserved = category === 'request' ? linesPerSecond * STATE_LINE_FRACTION : 0;
     if (this.#allowance < 1 + reserved) return false;
     this.#allowance -= 1;
     return true;
