--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -1,8 +1,8 @@
-/** What a process shows of itself: logs, metrics and timeline events. */
+/** Logs, metrics and timeline events of a process. */
 export {
   EventLogger,
   formatFields,
-  type LineSubject,
+  type LineCategory,
   type LogFields,
   type LogLevel,
 } from './event-logger.js';
