--- a/packages/gateway/src/backends/backend-availability.ts
+++ b/packages/gateway/src/backends/backend-availability.ts
@@ -62,7 +62,7 @@
 
   /** Takes one unit of the backend's rate limit for a request; resolves with false if none is left. */
   takeRateLimitUnit(id: string): Promise<boolean> {
-    return this.#options.rateLimits.take(id);
+    return this.#options.rateLimits.takeUnit(id);
   }
 
   /** Whether the backoff time that the backend asked this node for is still running. */
--- a/packages/gateway/src/backends/backend-notices.ts
+++ b/packages/gateway/src/backends/backend-notices.ts
@@ -68,7 +68,7 @@
     isChargedToRateLimit: boolean,
   ): void {
     const { rateLimits, onRateLimit } = this.#options;
-    rateLimits.heard(backendId, limit, isChargedToRateLimit);
+    rateLimits.recordNotice(backendId, limit, isChargedToRateLimit);
     if (typeof limit === 'number') onRateLimit(backendId, limit);
     else if (limit === 'none' && isChargedToRateLimit) onRateLimit(backendId, undefined);
   }
--- a/packages/gateway/src/backends/backend-rate-limits.ts
+++ b/packages/gateway/src/backends/backend-rate-limits.ts
@@ -62,7 +62,11 @@
    * sent. Only the response to such a request can end the limit: a request sent before the limit was
    * announced may be answered after that.
    */
-  heard(backendId: string, rateLimit: BackendNotice['rateLimit'], isChargedToRateLimit: boolean): void {
+  recordNotice(
+    backendId: string,
+    rateLimit: BackendNotice['rateLimit'],
+    isChargedToRateLimit: boolean,
+  ): void {
     if (rateLimit === 'none' && isChargedToRateLimit) this.#limits.delete(backendId);
     if (typeof rateLimit === 'number') this.#recordLimit(backendId, rateLimit);
   }
@@ -110,7 +114,7 @@
   }
 
   /** Takes one unit for a request; resolves with false if none is left. */
-  async take(backendId: string): Promise<boolean> {
+  async takeUnit(backendId: string): Promise<boolean> {
     if (this.exhaustedMs(backendId) > 0) return false;
     const decision = await this.#options.admit(backendId);
     if (decision.kind === 'admitted') return true;
--- a/packages/gateway/src/backends/slot-picker.ts
+++ b/packages/gateway/src/backends/slot-picker.ts
@@ -9,7 +9,7 @@
   /** Undefined if no leader can be reached now. */
   acquire(pool: string, request: SlotRequest, cancelled: AbortSignal): Promise<SlotDecision | undefined>;
   /** Reports that a request was sent to an engine without a grant from the leader. */
-  began(pool: string, request: SlotRequest, backendId: string): void;
+  startedWithoutGrant(pool: string, request: SlotRequest, backendId: string): void;
   /** Reports that the engine has started its response. */
   started(pool: string, requestId: string): void;
   release(pool: string, requestId: string, outcome: UseOutcome): void;
@@ -150,7 +150,7 @@
       return this.#withoutLeader(context, request, cancelled);
     }
     const pool = context.service.name;
-    this.#slots.began(pool, request, backend.id);
+    this.#slots.startedWithoutGrant(pool, request, backend.id);
     this.#running.set(backend.id, (this.#running.get(backend.id) ?? 0) + 1);
     const finish = (outcome: UseOutcome): void => {
       this.#running.set(backend.id, (this.#running.get(backend.id) ?? 1) - 1);
--- a/packages/gateway/src/cluster/fleet-quotas.ts
+++ b/packages/gateway/src/cluster/fleet-quotas.ts
@@ -89,7 +89,7 @@
 export type BorrowReply = readonly Loan[] | null;
 
 /** The part of the cluster that homes and borrowers use. */
-export type QuotaSight = Pick<Cluster, 'selfId' | 'candidates' | 'peerAddress' | 'lostMembers'>;
+export type QuotaCluster = Pick<Cluster, 'selfId' | 'candidates' | 'peerAddress' | 'lostMembers'>;
 
 /**
  * By how much operators let the units of a window exceed rate and burst, as nodes can't act in perfect
@@ -111,7 +111,7 @@
 const BURST_TOLERANCE_SHARE = 0.5;
 
 /** The rule by which units are lent, chosen so that the use of a window stays within rule and tolerance. */
-export function widened(rule: QuotaRule, tolerance: QuotaTolerance | undefined): QuotaRule {
+export function widenRule(rule: QuotaRule, tolerance: QuotaTolerance | undefined): QuotaRule {
   if (tolerance === undefined) return rule;
   const { windowSeconds, overage, slack } = tolerance;
   const { ratePerSecond, burst } = rule;
@@ -122,7 +122,7 @@
 export interface FleetQuotasOptions {
   readonly kind: QuotaKind;
   readonly clock: Clock;
-  readonly cluster: QuotaSight;
+  readonly cluster: QuotaCluster;
   readonly network: PeerCaller;
   readonly telemetry: Telemetry;
   readonly rules: QuotaRules;
--- a/packages/gateway/src/cluster/published-state.ts
+++ b/packages/gateway/src/cluster/published-state.ts
@@ -144,7 +144,7 @@
   }
 
   /** Records that a peer has a version of the configuration in force. */
-  peerShows(address: string, version: number, zone: string): void {
+  handlePeerVersion(address: string, version: number, zone: string): void {
     this.#freshness.onVersionSeen(version);
     this.#fetcher.offered(version, address, zone === this.#options.zone);
   }
@@ -152,8 +152,8 @@
   // --- the store ---------------------------------------------------------------------------------
 
   /** Sets whether the published state can be read directly; otherwise it is learnt from peers. */
-  sourceAnswers(answers: boolean): void {
-    this.#exchange.sourceAnswers = answers;
+  setSourceAvailable(isAvailable: boolean): void {
+    this.#exchange.isSourceAvailable = isAvailable;
   }
 
   /** Whether this node reads the published state itself; otherwise other nodes read it on its behalf. */
@@ -162,7 +162,7 @@
   }
 
   /** Resolves once this node reads the published state itself. */
-  untilReadsSource(): Promise<void> {
+  waitUntilReadsSource(): Promise<void> {
     return this.#follower.waitUntilReading();
   }
 
@@ -186,7 +186,7 @@
   }
 
   /** Records that the list of backends was complete in the store at this time of this node's clock. */
-  sourceHeard(asOfMs: number): void {
+  recordStoreAnswer(asOfMs: number): void {
     this.#follower.onStoreAnswered(asOfMs);
   }
 
--- a/packages/gateway/src/cluster/slot-service.ts
+++ b/packages/gateway/src/cluster/slot-service.ts
@@ -145,7 +145,7 @@
   }
 
   /** Whether this node leads a pool, or observes one because it may have to lead it. */
-  get takesPart(): boolean {
+  get hasPoolRole(): boolean {
     for (const { pool } of this.#pools.values()) if (pool !== undefined) return true;
     return false;
   }
@@ -236,7 +236,7 @@
     this.#leaderConnection(pool)?.notify(RATE_LIMIT_METHOD, params);
   }
 
-  began(poolName: string, request: SlotRequest, backendId: string): void {
+  startedWithoutGrant(poolName: string, request: SlotRequest, backendId: string): void {
     this.#uses.begin(poolName, request, backendId);
   }
 
@@ -324,7 +324,7 @@
   /** Whether this node leads or observes a pool, or knows of a pool without a leader. */
   #needsFrequentTicks(): boolean {
     const hasLeaders = [...this.#pools.values()].every(({ leadership }) => leadership.leader !== undefined);
-    return this.takesPart || !hasLeaders || this.#pools.size === 0;
+    return this.hasPoolRole || !hasLeaders || this.#pools.size === 0;
   }
 
   #tick(): void {
--- a/packages/gateway/src/cluster/state-exchange.ts
+++ b/packages/gateway/src/cluster/state-exchange.ts
@@ -45,7 +45,7 @@
   readonly #freshness: ConfigurationFreshness;
   readonly #onConfigurationOffered: (version: number, address: string) => void;
   readonly #storeLost = new Notifier();
-  #sourceAnswers = false;
+  #isSourceAvailable = false;
   #stopped = false;
 
   constructor(options: {
@@ -80,18 +80,18 @@
   }
 
   /** Whether the published state can currently be read directly. */
-  set sourceAnswers(answers: boolean) {
-    if (answers === this.#sourceAnswers) return;
-    this.#sourceAnswers = answers;
-    if (!answers) this.#storeLost.notify();
-    this.#telemetry.event(answers ? 'info' : 'warn', 'store.dependency', 'store', {
-      state: answers ? 'regained' : 'lost',
+  set isSourceAvailable(isAvailable: boolean) {
+    if (isAvailable === this.#isSourceAvailable) return;
+    this.#isSourceAvailable = isAvailable;
+    if (!isAvailable) this.#storeLost.notify();
+    this.#telemetry.event(isAvailable ? 'info' : 'warn', 'store.dependency', 'store', {
+      state: isAvailable ? 'regained' : 'lost',
     });
   }
 
   async #poll(): Promise<void> {
     while (!this.#stopped) {
-      if (this.#sourceAnswers) await this.#storeLost.wait();
+      if (this.#isSourceAvailable) await this.#storeLost.wait();
       if (this.#stopped) return;
       const peer = this.#random.pick(this.#peers());
       if (peer !== undefined) await this.#ask(peer);
--- a/packages/gateway/src/gateway-metrics.ts
+++ b/packages/gateway/src/gateway-metrics.ts
@@ -110,7 +110,7 @@
     help: 'Most bytes that waited to be sent to other nodes in the last second',
     registers: [this.registry],
   });
-  readonly droppedLines = new Gauge({
+  readonly droppedLogLines = new Gauge({
     name: 'canvasridge_log_lines_dropped',
     help: 'Log lines left out since the start',
     registers: [this.registry],
--- a/packages/gateway/src/gateway-node.ts
+++ b/packages/gateway/src/gateway-node.ts
@@ -38,7 +38,7 @@
   RATE_BORROW_METHOD,
   TENANT_QUOTAS,
   readRateBorrow,
-  widened,
+  widenRule,
   type BorrowParams,
 } from './cluster/fleet-quotas.js';
 import { PublishedState, publishedMethods } from './cluster/published-state.js';
@@ -135,7 +135,7 @@
       telemetry,
       seeds: options.seeds,
       configurationVersion: () => this.fleet.configurationVersion,
-      onPeerVersion: (address, version, zone) => this.published.peerShows(address, version, zone),
+      onPeerVersion: (address, version, zone) => this.published.handlePeerVersion(address, version, zone),
       onQuarantine: () => this.#quarantine.update(),
     });
     this.directory = new Directory(this.#cluster, () => this.#slots.leaders());
@@ -150,7 +150,7 @@
       fleet,
       cluster: this.#cluster,
       network: this.#network,
-      needsWholeState: () => this.#slots.takesPart,
+      needsWholeState: () => this.#slots.hasPoolRole,
     });
     const backoffs = new BackendBackoffs(clock);
     const rateLimits = new BackendRateLimits({ clock, admit: (id) => this.#backendRates.admit(id, 1) });
@@ -344,7 +344,7 @@
 
   #quotaRule(tenant: string): QuotaRule | undefined {
     const quota = this.fleet.routes?.tenants?.named(tenant)?.quota;
-    return quota === undefined ? undefined : widened(quota, this.#options.settings.quotaTolerance);
+    return quota === undefined ? undefined : widenRule(quota, this.#options.settings.quotaTolerance);
   }
 
   #retryBudget(service: string): RetryBudget {
@@ -408,7 +408,7 @@
 
   async #runEverySecond(): Promise<void> {
     while (!this.#stopping) {
-      this.metrics.droppedLines.set(this.#options.droppedLines());
+      this.metrics.droppedLogLines.set(this.#options.droppedLogLines());
       this.published.report();
       this.metrics.members.set(this.#cluster.serving().length);
       this.metrics.loopLag.set(this.#loopLag.meanMs / 1000);
--- a/packages/gateway/src/gateway-settings.ts
+++ b/packages/gateway/src/gateway-settings.ts
@@ -52,5 +52,5 @@
   readonly control: EngineControl;
   readonly fleet: FleetState;
   /** Number of log lines dropped so far. */
-  readonly droppedLines: () => number;
+  readonly droppedLogLines: () => number;
 }
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -32,9 +32,9 @@
   RATE_BORROW_METHOD,
   TENANT_QUOTAS,
   readRateBorrow,
-  widened,
+  widenRule,
   type BorrowParams,
-  type QuotaSight,
+  type QuotaCluster,
   type QuotaTolerance,
 } from './cluster/fleet-quotas.js';
 export { Directory } from './cluster/directory.js';
@@ -49,11 +49,11 @@
   type IdentityProblem,
 } from './request/caller-identity.js';
 export type {
-  AnswerFacts,
-  AnswerHeaders,
+  ResponseFacts,
+  ResponseHeaders,
   ForwardFacts,
   GenerationFacts,
   RequestDialect,
   RequestFacts,
 } from './request/dialect.js';
-export { connectionNames, passesOn } from './request/hop-headers.js';
+export { connectionHeaderNames, isEndToEndHeader } from './request/hop-headers.js';
--- a/packages/gateway/src/request/backend-attempt.ts
+++ b/packages/gateway/src/request/backend-attempt.ts
@@ -4,7 +4,7 @@
 import type { Dispatcher } from 'undici';
 import type { BackendConnection } from '../backends/backend-connection.js';
 import type { ResponseSink } from './response-sink.js';
-import type { AnswerHeaders, RequestDialect } from './dialect.js';
+import type { ResponseHeaders, RequestDialect } from './dialect.js';
 
 /**
  * How an attempt to get a response from a backend ended:
@@ -19,7 +19,7 @@
   | {
       readonly kind: 'failure';
       readonly status: number;
-      readonly headers: AnswerHeaders;
+      readonly headers: ResponseHeaders;
       readonly body: Buffer;
     }
   | { readonly kind: 'not-run'; readonly reason: NotRunReason }
@@ -119,9 +119,9 @@
   #sentMs: number | undefined;
   #startedMs: number | undefined;
   #status = 0;
-  #headers: AnswerHeaders = {};
+  #headers: ResponseHeaders = {};
   #isSuccess = false;
-  #notRun = false;
+  #isNotRun = false;
   #chunks: Buffer[] = [];
   #size = 0;
   #forwarding = false;
@@ -193,15 +193,15 @@
     headers: Record<string, string | string[] | undefined>,
   ): void {
     const { dialect, attemptId } = this.#options;
-    const facts = dialect.readAnswer(status, headers);
+    const facts = dialect.readResponse(status, headers);
     this.#options.onNotice(facts.notice);
     this.#status = status;
     this.#headers = headers;
-    this.#notRun = facts.notRun;
+    this.#isNotRun = facts.isNotRun;
     this.#isSuccess = status < STATUS_SUCCESS_END;
     if (facts.attemptId !== undefined && facts.attemptId !== attemptId) {
       this.#reject(controller, 'response to another request');
-    } else if (this.#isSuccess && (!facts.signed || facts.attemptId === undefined)) {
+    } else if (this.#isSuccess && (!facts.isStamped || facts.attemptId === undefined)) {
       this.#reject(controller, 'success without the response stamp of a backend');
     } else if (this.#isSuccess && headers['content-encoding'] !== undefined) {
       this.#reject(controller, 'encoded response body');
@@ -249,7 +249,7 @@
         detail: 'connection ended within the response',
         how: 'connection-lost',
       });
-    } else if (this.#notRun) this.#finish({ kind: 'not-run', reason: this.#notRunReason() });
+    } else if (this.#isNotRun) this.#finish({ kind: 'not-run', reason: this.#notRunReason() });
     else if (!this.#isSuccess) this.#finish(this.#failureOutcome());
     else if (this.#isStream && this.#tracker.hasPartialEvent) {
       this.#finish({ kind: 'broken', detail: 'response ended within an event', how: 'bad-answer' });
@@ -259,7 +259,7 @@
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
     if (this.#cancelled) this.#finish({ kind: 'cancelled' });
     else if (!this.sent) this.#finish({ kind: 'not-run', reason: 'unreachable' });
-    else if (this.#notRun) this.#finish({ kind: 'not-run', reason: this.#notRunReason() });
+    else if (this.#isNotRun) this.#finish({ kind: 'not-run', reason: this.#notRunReason() });
     else this.#finish({ kind: 'broken', detail: error.message, how: 'connection-lost' });
   }
 
--- a/packages/gateway/src/request/dialect.ts
+++ b/packages/gateway/src/request/dialect.ts
@@ -45,16 +45,16 @@
 }
 
 /** What the headers of a backend's response say about the request. */
-export interface AnswerFacts {
+export interface ResponseFacts {
   /** The backend promises that it did not run the request and never will. */
-  readonly notRun: boolean;
+  readonly isNotRun: boolean;
   readonly attemptId: string | undefined;
   /** Whether the response has the stamp that a backend puts on every response of its own. */
-  readonly signed: boolean;
+  readonly isStamped: boolean;
   readonly notice: BackendNotice;
 }
 
-export type AnswerHeaders = Readonly<Record<string, string | string[] | undefined>>;
+export type ResponseHeaders = Readonly<Record<string, string | string[] | undefined>>;
 
 /**
  * Reads and writes the header names and formats of the surrounding platform. All other parts of requests and
@@ -67,7 +67,7 @@
    * that the gateway sets.
    */
   forwardHeaders(rawHeaders: readonly string[], facts: ForwardFacts): string[];
-  readAnswer(status: number, headers: AnswerHeaders): AnswerFacts;
+  readResponse(status: number, headers: ResponseHeaders): ResponseFacts;
   /** Headers of a refusal, which tell the client when to retry. */
   refusalHeaders(retryAfterMs: number | undefined): Record<string, string>;
 }
--- a/packages/gateway/src/request/hop-headers.ts
+++ b/packages/gateway/src/request/hop-headers.ts
@@ -17,12 +17,12 @@
 ]);
 
 /** Whether a header is forwarded. `named` are the header names that a Connection header lists. */
-export function passesOn(lowerName: string, named: ReadonlySet<string>): boolean {
+export function isEndToEndHeader(lowerName: string, named: ReadonlySet<string>): boolean {
   return !HOP_BY_HOP_HEADERS.has(lowerName) && !named.has(lowerName);
 }
 
 /** Header names that the Connection headers of a message list, in lower case. */
-export function connectionNames(connection: string | undefined): ReadonlySet<string> {
+export function connectionHeaderNames(connection: string | undefined): ReadonlySet<string> {
   if (connection === undefined) return NO_NAMES;
   return new Set(connection.split(',').map((name) => name.trim().toLowerCase()));
 }
--- a/packages/gateway/src/request/response-sink.ts
+++ b/packages/gateway/src/request/response-sink.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from 'node:http';
-import type { AnswerHeaders } from './dialect.js';
-import { connectionNames, passesOn } from './hop-headers.js';
+import type { ResponseHeaders } from './dialect.js';
+import { connectionHeaderNames, isEndToEndHeader } from './hop-headers.js';
 
 /**
  * Writes the response to the client of one request: it is started once and then either completed or aborted.
@@ -28,12 +28,12 @@
    * Forwards the status and headers of a backend's response. `bodyLength` is undefined if it is not known
    * yet.
    */
-  start(status: number, headers: AnswerHeaders, bodyLength: number | undefined): void {
+  start(status: number, headers: ResponseHeaders, bodyLength: number | undefined): void {
     const response = this.#response;
-    const connectionOptions = connectionNames(joinedValue(headers['connection']));
+    const connectionOptions = connectionHeaderNames(joinedValue(headers['connection']));
     for (const name in headers) {
       const value = headers[name];
-      if (value !== undefined && passesOn(name, connectionOptions)) response.setHeader(name, value);
+      if (value !== undefined && isEndToEndHeader(name, connectionOptions)) response.setHeader(name, value);
     }
     if (bodyLength !== undefined) response.setHeader('content-length', bodyLength);
     this.#writeHead(status);
--- a/packages/gateway/test/announced-leaving.test.ts
+++ b/packages/gateway/test/announced-leaving.test.ts
@@ -11,7 +11,7 @@
  */
 import test, { type ExecutionContext } from 'ava';
 import { Harness, SERVICE } from './harness.js';
-import { success, type RawAnswer } from './raw-backend.js';
+import { success, type RawResponder } from './raw-backend.js';
 
 const LEAVING = 'leaving: 1\r\n';
 const CALLS = 20;
@@ -20,8 +20,8 @@
 /**
  * Starts two backends: one that is leaving, and a slower one that stays and is therefore chosen less often.
  */
-async function startWithSlowBackend(t: ExecutionContext, leaving: RawAnswer): Promise<Harness> {
-  const staying: RawAnswer = (socket, id) => setTimeout(() => socket.write(success(id, 'stays')), SLOW_MS);
+async function startWithSlowBackend(t: ExecutionContext, leaving: RawResponder): Promise<Harness> {
+  const staying: RawResponder = (socket, id) => setTimeout(() => socket.write(success(id, 'stays')), SLOW_MS);
   const harness = await Harness.start({}, [leaving, staying]);
   t.teardown(() => harness.stop());
   return harness;
@@ -40,7 +40,7 @@
   return leaving?.requestHeads.length ?? 0;
 }
 
-const responders: readonly (readonly [name: string, answer: RawAnswer])[] = [
+const responders: readonly (readonly [name: string, answer: RawResponder])[] = [
   ['a success', (socket, id) => socket.write(success(id, 'leaves', LEAVING))],
   [
     'a failure of its own',
--- a/packages/gateway/test/backoff-strategies.test.ts
+++ b/packages/gateway/test/backoff-strategies.test.ts
@@ -20,7 +20,7 @@
 import { BackendBackoffs } from '../src/backends/backend-backoffs.js';
 import { LeastLoadedPicker } from '../src/backends/least-loaded-picker.js';
 import type { PickContext, PickResult } from '../src/backends/picker.js';
-import { noRateLimits } from './free-backends.js';
+import { noRateLimits } from './no-rate-limits.js';
 import { SERVICE, configuration } from './harness.js';
 
 type Strategy = 'ignore' | 'elsewhere' | 'time-left' | 'wait' | 'built';
--- a/packages/gateway/test/backoff.test.ts
+++ b/packages/gateway/test/backoff.test.ts
@@ -13,7 +13,7 @@
 import test, { type ExecutionContext } from 'ava';
 import { BackendBackoffs } from '../src/backends/backend-backoffs.js';
 import { Harness } from './harness.js';
-import { success, type RawAnswer } from './raw-backend.js';
+import { success, type RawResponder } from './raw-backend.js';
 
 const CALLS = 20;
 /** Longer than any of these tests runs. */
@@ -27,8 +27,8 @@
   return `HTTP/1.1 503 Full\r\nattempt-id: ${id}\r\nnot-run: 1\r\nbackoff: ${backoffMs}\r\ncontent-length: 0\r\n\r\n`;
 }
 
-async function startWithSlowBackend(t: ExecutionContext, refusing: RawAnswer): Promise<Harness> {
-  const slow: RawAnswer = (socket, id) => setTimeout(() => socket.write(success(id, 'slow')), SLOW_MS);
+async function startWithSlowBackend(t: ExecutionContext, refusing: RawResponder): Promise<Harness> {
+  const slow: RawResponder = (socket, id) => setTimeout(() => socket.write(success(id, 'slow')), SLOW_MS);
   const harness = await Harness.start({}, [refusing, slow]);
   t.teardown(() => harness.stop());
   return harness;
--- a/packages/gateway/test/body-memory-budget.test.ts
+++ b/packages/gateway/test/body-memory-budget.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { BodyMemoryBudget } from '../src/request/body-memory-budget.js';
 import { Harness } from './harness.js';
-import { success, type RawAnswer } from './raw-backend.js';
+import { success, type RawResponder } from './raw-backend.js';
 
 const BODY = 'x'.repeat(60_000);
 
@@ -18,7 +18,7 @@
 
 test('a request whose body exceeds the memory budget is refused as not run, and others are served', async (t) => {
   const held: (() => void)[] = [];
-  const answer: RawAnswer = (socket, id) => held.push(() => socket.write(success(id, 'done')));
+  const answer: RawResponder = (socket, id) => held.push(() => socket.write(success(id, 'done')));
   const harness = await Harness.start({}, [answer, answer, answer, answer]);
   t.teardown(() => harness.stop());
   const first = ['a', 'b', 'c'].map((id) => harness.call(id, '/x/', BODY));
--- a/packages/gateway/test/departures.test.ts
+++ b/packages/gateway/test/departures.test.ts
@@ -1,10 +1,10 @@
 /** Clients that disconnect before their answer, and nodes that do not have a configuration yet. */
 import test from 'ava';
 import { Harness } from './harness.js';
-import { chunk, streamHead, success, type RawAnswer } from './raw-backend.js';
+import { chunk, streamHead, success, type RawResponder } from './raw-backend.js';
 
 interface WatchedBackend {
-  readonly answer: RawAnswer;
+  readonly answer: RawResponder;
   /** The request has reached the backend. */
   readonly arrived: Promise<void>;
   /** The backend's connection was closed from the other side. */
@@ -12,7 +12,7 @@
 }
 
 /** A backend that starts its answer as given and then keeps workingBackend until its connection is closed. */
-function workingBackend(begin: RawAnswer): WatchedBackend {
+function workingBackend(begin: RawResponder): WatchedBackend {
   let arrive = (): void => undefined;
   let close = (): void => undefined;
   const arrived = new Promise<void>((resolve) => {
@@ -21,7 +21,7 @@
   const closed = new Promise<void>((resolve) => {
     close = resolve;
   });
-  const answer: RawAnswer = (socket, attemptId, head) => {
+  const answer: RawResponder = (socket, attemptId, head) => {
     socket.once('close', close);
     begin(socket, attemptId, head);
     arrive();
@@ -29,7 +29,7 @@
   return { answer, arrived, closed };
 }
 
-const begins: readonly (readonly [name: string, begin: RawAnswer])[] = [
+const begins: readonly (readonly [name: string, begin: RawResponder])[] = [
   ['before the first byte', () => undefined],
   [
     'within a stream',
@@ -52,7 +52,7 @@
     ]);
     t.teardown(() => harness.stop());
     const arrived = Promise.race([first.arrived, second.arrived]);
-    await harness.callAndLeave('a1', arrived);
+    await harness.callAndDisconnect('a1', arrived);
     await Promise.race([first.closed, second.closed]);
     await new Promise((resolve) => setTimeout(resolve, 50));
     t.is(harness.sends, 1);
--- a/packages/gateway/test/exchange.test.ts
+++ b/packages/gateway/test/exchange.test.ts
@@ -1,23 +1,23 @@
 import test, { type ExecutionContext } from 'ava';
 import { Harness, type RouteOverrides } from './harness.js';
-import { chunk, streamHead, success, type RawAnswer } from './raw-backend.js';
+import { chunk, streamHead, success, type RawResponder } from './raw-backend.js';
 
 async function withHarness(
   t: ExecutionContext,
   changes: RouteOverrides,
-  answers: readonly RawAnswer[],
+  responders: readonly RawResponder[],
   run: (harness: Harness) => Promise<void>,
 ): Promise<void> {
-  const harness = await Harness.start(changes, answers);
+  const harness = await Harness.start(changes, responders);
   t.teardown(() => harness.stop());
   await run(harness);
 }
 
-const wholeResponse: RawAnswer = (socket, id) => socket.write(success(id, 'answer'));
+const wholeResponse: RawResponder = (socket, id) => socket.write(success(id, 'answer'));
 const event = (id: number): string => `id: ${id}\ndata: e${id}\n\n`;
 
 /** Backend faults after which the request may have run. */
-const backendFaults: readonly (readonly [name: string, answer: RawAnswer])[] = [
+const backendFaults: readonly (readonly [name: string, answer: RawResponder])[] = [
   ['closes without a response', (socket) => socket.end()],
   ['resets', (socket) => socket.resetAndDestroy()],
   ['sends bytes that are no HTTP response', (socket) => socket.end('garbage\r\n\r\n')],
@@ -78,7 +78,7 @@
 
   test(`a backend that ${name}: an idempotent request is answered by another backend`, async (t) => {
     let failed = false;
-    const once: RawAnswer = (socket, id, head) => {
+    const once: RawResponder = (socket, id, head) => {
       if (failed) wholeResponse(socket, id, head);
       else {
         failed = true;
@@ -102,7 +102,7 @@
 const SILENT_ROUTE_MS = 1500;
 
 test('a response without Content-Length ends with its connection', async (t) => {
-  const unframed: RawAnswer = (socket, id) =>
+  const unframed: RawResponder = (socket, id) =>
     socket.end(
       `HTTP/1.1 200 OK\r\nattempt-id: ${id}\r\nresponse-stamp: s\r\nconnection: close\r\n\r\nanswer`,
     );
@@ -115,7 +115,7 @@
 
 test('a request that a backend refused without running it is sent to another, even if it may run at most once', async (t) => {
   let refused = false;
-  const answer: RawAnswer = (socket, id, head) => {
+  const answer: RawResponder = (socket, id, head) => {
     if (refused) {
       wholeResponse(socket, id, head);
       return;
@@ -129,7 +129,7 @@
 });
 
 test('if all backends refuse, the client is told that nothing ran and when to retry', async (t) => {
-  const busy: RawAnswer = (socket) =>
+  const busy: RawResponder = (socket) =>
     socket.write('HTTP/1.1 503 Busy\r\nnot-run: 1\r\nresponse-stamp: s\r\ncontent-length: 0\r\n\r\n');
   await withHarness(t, { kind: 'at-most-once' }, [busy, busy], async (harness) => {
     const seen = await harness.call('a1');
@@ -140,7 +140,7 @@
 });
 
 test('an error response of a backend is forwarded unchanged', async (t) => {
-  const failing: RawAnswer = (socket, id) =>
+  const failing: RawResponder = (socket, id) =>
     socket.write(success(id, 'broken').replace('200 OK', '500 Internal Server Error'));
   await withHarness(t, { kind: 'at-most-once' }, [failing], async (harness) => {
     const seen = await harness.call('a1');
@@ -178,7 +178,7 @@
 }
 
 test("a request that exceeds its route's timeout gets a final response at once", async (t) => {
-  const silent: RawAnswer = () => undefined;
+  const silent: RawResponder = () => undefined;
   await withHarness(t, { kind: 'at-most-once', timeoutMs: SILENT_ROUTE_MS }, [silent], async (harness) => {
     t.is((await harness.call('a1')).status, 504);
   });
@@ -186,7 +186,7 @@
 
 test('a response that arrives after the timeout of its request reaches no client', async (t) => {
   let requests = 0;
-  const late: RawAnswer = (socket, id) => {
+  const late: RawResponder = (socket, id) => {
     requests += 1;
     if (requests === 1) setTimeout(() => socket.write(success(id, 'late')), SILENT_ROUTE_MS + 100);
     else socket.write(success(id, 'in time'));
@@ -199,7 +199,7 @@
 });
 
 test('a duplicate response on a kept connection is not taken for the response to the next request', async (t) => {
-  const doubled: RawAnswer = (socket, id) => {
+  const doubled: RawResponder = (socket, id) => {
     socket.write(success(id, `answer ${id}`));
     setTimeout(() => socket.write(success(id, `answer ${id}`)), 20);
   };
@@ -212,7 +212,7 @@
 });
 
 test('events are forwarded one by one, and so is the end of the stream', async (t) => {
-  const stream: RawAnswer = (socket, id) => {
+  const stream: RawResponder = (socket, id) => {
     socket.write(streamHead(id) + chunk(event(1)));
     setTimeout(() => socket.write(`${chunk(event(2))}0\r\n\r\n`), 20);
   };
@@ -224,7 +224,7 @@
 });
 
 test('a broken stream resumes on another backend after its last whole event if its route is resumable', async (t) => {
-  const stream: RawAnswer = (socket, id, head) => {
+  const stream: RawResponder = (socket, id, head) => {
     const after = /last-event-id: (\d+)/.exec(head)?.[1];
     if (after === undefined) {
       socket.write(streamHead(id) + chunk(event(1)) + chunk(event(2)) + chunk('id: 3\nda'));
@@ -239,7 +239,7 @@
 });
 
 test('a broken stream whose route is not resumable is cut off', async (t) => {
-  const stream: RawAnswer = (socket, id) => {
+  const stream: RawResponder = (socket, id) => {
     socket.write(streamHead(id) + chunk(event(1)));
     setTimeout(() => socket.resetAndDestroy(), 30);
   };
@@ -251,7 +251,7 @@
 });
 
 test('a stream that ends within an event does not end as complete', async (t) => {
-  const stream: RawAnswer = (socket, id) =>
+  const stream: RawResponder = (socket, id) =>
     socket.write(`${streamHead(id)}${chunk(event(1))}${chunk('id: 2\nda')}0\r\n\r\n`);
   await withHarness(t, { kind: 'stream' }, [stream], async (harness) => {
     t.false((await harness.call('a1')).whole);
--- a/packages/gateway/test/explanations.test.ts
+++ b/packages/gateway/test/explanations.test.ts
@@ -3,7 +3,7 @@
  */
 import test from 'ava';
 import { Harness, type RouteOverrides } from './harness.js';
-import { chunk, streamHead, type RawAnswer } from './raw-backend.js';
+import { chunk, streamHead, type RawResponder } from './raw-backend.js';
 
 /** What the log lines say about one request. */
 interface Explanation {
@@ -38,24 +38,24 @@
   return JSON.parse(value) as string;
 }
 
-const refuses: RawAnswer = (socket) =>
+const refuses: RawResponder = (socket) =>
   socket.write('HTTP/1.1 503 Busy\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n');
-const breaksOff: RawAnswer = (socket, id) => {
+const breaksOff: RawResponder = (socket, id) => {
   socket.write(streamHead(id) + chunk('id: 0\ndata: e0\n\n') + chunk('id: 1\nda'));
   setTimeout(() => socket.resetAndDestroy(), 30);
 };
-const silent: RawAnswer = () => undefined;
+const silent: RawResponder = () => undefined;
 
 const cases: readonly {
   readonly name: string;
   readonly changes: RouteOverrides;
-  readonly answers: readonly RawAnswer[];
+  readonly responders: readonly RawResponder[];
   readonly expected: Explanation;
 }[] = [
   {
     name: 'refused',
     changes: { kind: 'at-most-once' },
-    answers: [refuses],
+    responders: [refuses],
     expected: {
       outcome: 'not-run: no-backend',
       backend: 'i1',
@@ -66,20 +66,20 @@
   {
     name: 'broken off',
     changes: { kind: 'stream', attempts: 1 },
-    answers: [breaksOff],
+    responders: [breaksOff],
     expected: { outcome: 'broken-off: read ECONNRESET', backend: 'i1', sends: 1, retriedAfter: [] },
   },
   {
     name: 'too late',
     changes: { kind: 'at-most-once', timeoutMs: 150 },
-    answers: [silent],
+    responders: [silent],
     expected: { outcome: 'timed-out', backend: 'i1', sends: 1, retriedAfter: [] },
   },
 ];
 
-for (const { name, changes, answers, expected } of cases) {
+for (const { name, changes, responders, expected } of cases) {
   test(`the log lines explain a request that was ${name}`, async (t) => {
-    const harness = await Harness.start(changes, answers);
+    const harness = await Harness.start(changes, responders);
     t.teardown(() => harness.stop());
     await harness.call('seen-by-its-client');
     await harness.call('another');
--- a/packages/gateway/test/fleet-quotas.test.ts
+++ b/packages/gateway/test/fleet-quotas.test.ts
@@ -6,7 +6,7 @@
   FleetQuotas,
   TENANT_QUOTAS,
   type BorrowParams,
-  type QuotaSight,
+  type QuotaCluster,
 } from '../src/index.js';
 
 const RULE = { ratePerSecond: 100, burst: 400 };
@@ -47,7 +47,7 @@
 
   #newNode(id: string): FleetQuotas {
     const { clock } = this;
-    const cluster: QuotaSight = {
+    const cluster: QuotaCluster = {
       selfId: id,
       candidates: () => this.ranking,
       peerAddress: (peer) => peer,
--- a/packages/gateway/test/harness.ts
+++ b/packages/gateway/test/harness.ts
@@ -21,7 +21,7 @@
 import { BodyMemoryBudget } from '../src/request/body-memory-budget.js';
 import type { RequestDialect } from '../src/request/dialect.js';
 import { Exchange, type ExchangeContext } from '../src/request/exchange.js';
-import { RawBackend, type RawAnswer } from './raw-backend.js';
+import { RawBackend, type RawResponder } from './raw-backend.js';
 
 /** Dialect for tests. Its header names differ from those of any platform. */
 export const dialect: RequestDialect = {
@@ -44,10 +44,10 @@
     ...(facts.identity.kind === 'tenant' ? ['tenant', facts.identity.tenant.name] : []),
     ...(facts.lastEventId === undefined ? [] : ['last-event-id', String(facts.lastEventId)]),
   ],
-  readAnswer: (status, headers) => ({
-    notRun: headers['not-run'] !== undefined || status === 421,
+  readResponse: (status, headers) => ({
+    isNotRun: headers['not-run'] !== undefined || status === 421,
     attemptId: headers['attempt-id'] as string | undefined,
-    signed: headers['response-stamp'] !== undefined,
+    isStamped: headers['response-stamp'] !== undefined,
     notice: {
       isLeaving: headers['leaving'] !== undefined,
       backoffMs: headers['backoff'] === undefined ? undefined : Number(headers['backoff']),
@@ -158,11 +158,14 @@
   }
 
   /** @param changes undefined for a gateway that has no configuration yet */
-  static async start(changes: RouteOverrides | undefined, answers: readonly RawAnswer[]): Promise<Harness> {
+  static async start(
+    changes: RouteOverrides | undefined,
+    responders: readonly RawResponder[],
+  ): Promise<Harness> {
     const clock = new SystemClock();
     const harness = new Harness((self) => self.#context(clock));
     if (changes !== undefined) harness.fleet.applyConfiguration(configuration(changes));
-    for (const [index, answer] of answers.entries()) {
+    for (const [index, answer] of responders.entries()) {
       const backend = await RawBackend.start(answer);
       harness.#backends.push(backend);
       harness.fleet.applyBackend(index + 1, backend.description(`i${index + 1}`, SERVICE));
@@ -191,7 +194,7 @@
   }
 
   /** Sends a request and closes its connection when `until` resolves. */
-  async callAndLeave(attemptId: string, until: Promise<void>): Promise<void> {
+  async callAndDisconnect(attemptId: string, until: Promise<void>): Promise<void> {
     const { port } = this.#server.address() as AddressInfo;
     const headers = { host: HOST, 'attempt-id': attemptId };
     const outgoing = request({ host: '127.0.0.1', port, method: 'POST', path: '/x/', headers, agent: false });
--- a/packages/gateway/test/interrupting-request.test.ts
+++ b/packages/gateway/test/interrupting-request.test.ts
@@ -9,7 +9,7 @@
  */
 import test, { type ExecutionContext } from 'ava';
 import { callNode } from './harness.js';
-import { success, type RawAnswer } from './raw-backend.js';
+import { success, type RawResponder } from './raw-backend.js';
 import { startFleet, type RunningFleet } from './running-node.js';
 
 const CRASHING_BODY = 'ends its backend';
@@ -21,7 +21,7 @@
 
 /** Starts backends that stop for good when they get the crashing request. */
 function startCrashingFleet(t: ExecutionContext, nodes: number): Promise<RunningFleet> {
-  const answer: RawAnswer = (socket, attemptId, head) => {
+  const answer: RawResponder = (socket, attemptId, head) => {
     if (!/^what: ending/im.test(head)) {
       socket.write(success(attemptId, 'answer'));
       return;
--- a/packages/gateway/test/limited-fleet.ts
+++ b/packages/gateway/test/limited-fleet.ts
@@ -8,7 +8,7 @@
   FleetQuotas,
   RATE_BORROW_METHOD,
   readRateBorrow,
-  type QuotaSight,
+  type QuotaCluster,
 } from '../src/index.js';
 
 export const BACKEND = 'i1';
@@ -47,7 +47,7 @@
 
   /** Tells all nodes of the limit. */
   name(perSecond: number): void {
-    for (const { limits } of this.nodes.values()) limits.heard(BACKEND, perSecond, false);
+    for (const { limits } of this.nodes.values()) limits.recordNotice(BACKEND, perSecond, false);
   }
 
   /** Sends requests from random nodes for some seconds, at this total rate. */
@@ -57,7 +57,7 @@
       const gapMs = (-Math.log(1 - this.#random.next()) * 1000) / perSecond;
       await this.clock.runUntil(this.clock.now() + gapMs);
       const node = this.#random.pick([...this.nodes.values()]);
-      void node?.limits.take(BACKEND).then((isTaken) => {
+      void node?.limits.takeUnit(BACKEND).then((isTaken) => {
         if (isTaken) this.sentMs.push(this.clock.now());
       });
     }
@@ -76,7 +76,7 @@
 
   #addNode(id: string, ranking: readonly string[]): void {
     const { clock } = this;
-    const cluster: QuotaSight = {
+    const cluster: QuotaCluster = {
       selfId: id,
       candidates: () => this.nodes.get(id)?.ranking ?? ranking,
       peerAddress: (peer) => peer,
--- a/packages/gateway/test/rate-limit-homes.test.ts
+++ b/packages/gateway/test/rate-limit-homes.test.ts
@@ -63,13 +63,13 @@
 test('a limit that has ended is removed with the first counted answer, and after a minute without an answer', async (t) => {
   const clock = new VirtualClock();
   const limits = new BackendRateLimits({ clock, admit: () => Promise.resolve({ kind: 'admitted' }) });
-  limits.heard(BACKEND, 1.4, false);
-  limits.heard(BACKEND, 'none', false);
-  limits.heard(BACKEND, undefined, true);
+  limits.recordNotice(BACKEND, 1.4, false);
+  limits.recordNotice(BACKEND, 'none', false);
+  limits.recordNotice(BACKEND, undefined, true);
   t.is(limits.perSecond(BACKEND), 1.4, 'a request sent before the limit was stated may end after it');
-  limits.heard(BACKEND, 'none', true);
+  limits.recordNotice(BACKEND, 'none', true);
   t.is(limits.perSecond(BACKEND), undefined);
-  limits.heard(BACKEND, 1.4, false);
+  limits.recordNotice(BACKEND, 1.4, false);
   await clock.runUntil(60_000);
   t.is(limits.perSecond(BACKEND), undefined);
 });
--- a/packages/gateway/test/rate-limit.test.ts
+++ b/packages/gateway/test/rate-limit.test.ts
@@ -9,7 +9,7 @@
  */
 import test, { type ExecutionContext } from 'ava';
 import { Harness } from './harness.js';
-import { success, type RawAnswer } from './raw-backend.js';
+import { success, type RawResponder } from './raw-backend.js';
 
 const CALLS = 30;
 /** So low that it allows far less than one request while a test runs. */
@@ -17,10 +17,10 @@
 /** Requests allowed after the first response, which announces the limit. */
 const MAX_FURTHER_SENDS = 5;
 
-const rateLimited: RawAnswer = (socket, id) => socket.write(success(id, 'limited', LOW_LIMIT));
+const rateLimited: RawResponder = (socket, id) => socket.write(success(id, 'limited', LOW_LIMIT));
 
-async function start(t: ExecutionContext, answers: readonly RawAnswer[]): Promise<Harness> {
-  const harness = await Harness.start({}, answers);
+async function start(t: ExecutionContext, responders: readonly RawResponder[]): Promise<Harness> {
+  const harness = await Harness.start({}, responders);
   t.teardown(() => harness.stop());
   return harness;
 }
--- a/packages/gateway/test/raw-backend.ts
+++ b/packages/gateway/test/raw-backend.ts
@@ -2,7 +2,7 @@
 import type { BackendDescription } from '@canvasridge/serving';
 
 /** Handles one request of a {@link RawBackend}, given its headers and the socket. */
-export type RawAnswer = (socket: Socket, attemptId: string, head: string) => void;
+export type RawResponder = (socket: Socket, attemptId: string, head: string) => void;
 
 /**
  * A backend on a real socket that responds with arbitrary bytes, so that any backend fault can be
@@ -15,7 +15,7 @@
   connections = 0;
   #port = 0;
 
-  private constructor(answer: RawAnswer) {
+  private constructor(respond: RawResponder) {
     this.#server = createServer((socket) => {
       this.connections += 1;
       socket.on('error', () => undefined);
@@ -29,13 +29,13 @@
         if (received.length < end + 4 + length) return;
         received = '';
         this.requestHeads.push(head);
-        answer(socket, /attempt-id: (\S+)/i.exec(head)?.[1] ?? '', head);
+        respond(socket, /attempt-id: (\S+)/i.exec(head)?.[1] ?? '', head);
       });
     });
   }
 
-  static async start(answer: RawAnswer): Promise<RawBackend> {
-    const backend = new RawBackend(answer);
+  static async start(respond: RawResponder): Promise<RawBackend> {
+    const backend = new RawBackend(respond);
     await new Promise<void>((resolve) => backend.#server.listen(0, '127.0.0.1', resolve));
     backend.#port = (backend.#server.address() as AddressInfo).port;
     return backend;
--- a/packages/gateway/test/running-node.ts
+++ b/packages/gateway/test/running-node.ts
@@ -6,7 +6,7 @@
 import type { ExecutionContext } from 'ava';
 import { GatewayNode, NO_KEY_LEASE, type KeyLease } from '../src/index.js';
 import { SERVICE, configuration, dialect, type RouteOverrides } from './harness.js';
-import { RawBackend, type RawAnswer } from './raw-backend.js';
+import { RawBackend, type RawResponder } from './raw-backend.js';
 
 const LOOPBACK = '127.0.0.1';
 /** Grace period for a planned stop of the nodes of a fleet, short so that tests end soon. */
@@ -43,7 +43,7 @@
 export async function startNode(
   t: ExecutionContext,
   { route = {}, graceMs, tenants, clock }: RunningNodeOptions,
-  answer: RawAnswer,
+  answer: RawResponder,
 ): Promise<RunningNode> {
   const attempts: string[] = [];
   const backend = await RawBackend.start((socket, attemptId, head) => {
@@ -72,7 +72,7 @@
   t: ExecutionContext,
   counts: { readonly nodes: number; readonly backends: number },
   route: RouteOverrides,
-  answer: RawAnswer,
+  answer: RawResponder,
 ): Promise<RunningFleet> {
   const backends: RawBackend[] = [];
   for (let index = 0; index < counts.backends; index += 1) backends.push(await RawBackend.start(answer));
@@ -152,7 +152,7 @@
       order: () => Promise.resolve({ kind: 'unknown', detail: 'none here' }),
     },
     fleet,
-    droppedLines: () => 0,
+    droppedLogLines: () => 0,
   });
   if (node.isErr()) throw new Error(node.error.reason);
   return { node: node.value, port, lines };
--- a/packages/gateway/test/slot-picker.test.ts
+++ b/packages/gateway/test/slot-picker.test.ts
@@ -7,7 +7,7 @@
 import { BackendBackoffs } from '../src/backends/backend-backoffs.js';
 import type { PickContext } from '../src/backends/picker.js';
 import { SlotPicker, type SlotSource } from '../src/backends/slot-picker.js';
-import { noRateLimits } from './free-backends.js';
+import { noRateLimits } from './no-rate-limits.js';
 
 function engine(id: string, state: 'ready' | 'draining' = 'ready'): BackendDescription {
   return { id, service: 'llm', address: `${id}:1`, zone: 'a', state, slots: 8, models: [] };
@@ -50,7 +50,7 @@
     };
   }
 
-  began(): void {
+  startedWithoutGrant(): void {
     return;
   }
 
@@ -264,7 +264,7 @@
     clock,
     admit: () => Promise.resolve({ kind: 'refused', retryAfterMs: 500 }),
   });
-  rateLimits.heard('leaving', 1.4, false);
+  rateLimits.recordNotice('leaving', 1.4, false);
   const backoffs = new BackendBackoffs(clock);
   const availability = availabilityOf(fleet, clock, backoffs, rateLimits);
   const leader = new OutdatedLeader(['leaving', 'stays'], undefined, ratePerSecond);
--- a/packages/gateway/test/tenants.test.ts
+++ b/packages/gateway/test/tenants.test.ts
@@ -1,5 +1,5 @@
 import test, { type ExecutionContext } from 'ava';
-import { widened } from '../src/index.js';
+import { widenRule } from '../src/index.js';
 import {
   Harness,
   LEASE_MS,
@@ -8,9 +8,9 @@
   type RouteOverrides,
   type ClientResponse,
 } from './harness.js';
-import { success, type RawAnswer } from './raw-backend.js';
+import { success, type RawResponder } from './raw-backend.js';
 
-const ANSWER: RawAnswer = (socket, id) => socket.write(success(id, 'done'));
+const ANSWER: RawResponder = (socket, id) => socket.write(success(id, 'done'));
 const TENANTS = [tenant('one', ['key-1', 'key-1b']), tenant('two', ['key-2'])];
 
 async function withTenants(
@@ -118,10 +118,10 @@
 const QUOTA = { unit: 'tokens', ratePerSecond: 100, burst: 100, plainTokens: 200 } as const;
 
 async function withQuota(
-  answers: readonly RawAnswer[],
+  responders: readonly RawResponder[],
   body: (harness: Harness, asked: number[]) => Promise<void>,
 ): Promise<void> {
-  const harness = await Harness.start({}, answers);
+  const harness = await Harness.start({}, responders);
   harness.fleet.applyConfiguration(configuration({}, [tenant('one', ['key-1'], { quota: QUOTA })], 2));
   const asked: number[] = [];
   harness.admit = (_, units) => {
@@ -156,7 +156,7 @@
 });
 
 test('units of a request that no backend ran are given back exactly once', async (t) => {
-  const refuses: RawAnswer = (socket) =>
+  const refuses: RawResponder = (socket) =>
     socket.write('HTTP/1.1 503 Service Unavailable\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n');
   await withQuota([refuses], async (harness) => {
     t.is((await call(harness, 'key-1')).status, 503);
@@ -173,7 +173,7 @@
 
 test('the burst is widened by half of the overage that operators tolerate in a window', (t) => {
   const rule = { ratePerSecond: 100, burst: 200 };
-  t.deepEqual(widened(rule, undefined), rule);
+  t.deepEqual(widenRule(rule, undefined), rule);
   const tolerance = { windowSeconds: 8, overage: 0.25, slack: 50 };
-  t.deepEqual(widened(rule, tolerance), { ratePerSecond: 100, burst: 200 + 0.5 * (0.25 * 1000 + 50) });
+  t.deepEqual(widenRule(rule, tolerance), { ratePerSecond: 100, burst: 200 + 0.5 * (0.25 * 1000 + 50) });
 });
--- a/packages/gateway/test/virtual-holders.ts
+++ b/packages/gateway/test/virtual-holders.ts
@@ -14,7 +14,7 @@
 import type { Cluster } from '../src/cluster/cluster.js';
 import type { LeaderConnection } from '../src/cluster/remote-slots.js';
 import { SlotService } from '../src/cluster/slot-service.js';
-import { noRateLimits } from './free-backends.js';
+import { noRateLimits } from './no-rate-limits.js';
 import { VirtualClusters } from './virtual-clusters.js';
 
 const SERVICE = 'llm';
--- a/packages/load/src/simulation/peer-ports.ts
+++ b/packages/load/src/simulation/peer-ports.ts
@@ -1,6 +1,6 @@
 import { Header, type StreamSink } from '@canvasridge/domain';
 import {
-  readAnswer,
+  parseRpcResponse,
   type DatagramTransport,
   type PeerCallError,
   type PeerCaller,
@@ -127,7 +127,7 @@
     );
     if (response === undefined) return err({ kind: 'unreachable', peerUrl, detail: 'no answer' });
     this.#meter.count(JSON.stringify(response).length + CALL_OVERHEAD_BYTES);
-    return readAnswer(peerUrl, response, answerSchema);
+    return parseRpcResponse(peerUrl, response, answerSchema);
   }
 }
 
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -5,6 +5,6 @@
 export type { DatagramTransport } from './datagram-transport.js';
 export { UdpTransport, type UdpTransportError } from './udp-transport.js';
 export { PeerRpcServer } from './peer-rpc-server.js';
-export { HttpPeerCaller, type PeerCaller, type PeerCallError, readAnswer } from './peer-caller.js';
+export { HttpPeerCaller, type PeerCaller, type PeerCallError, parseRpcResponse } from './peer-caller.js';
 export { type PublishedRecord } from './record-table.js';
 export { decodeMessage, encodeMessage, type GossipMessage } from './codec.js';
--- a/packages/membership/src/peer-caller.ts
+++ b/packages/membership/src/peer-caller.ts
@@ -25,7 +25,7 @@
  * Validates a JSON-RPC response against the schema of the answer. Shared by all {@link PeerCaller}
  * implementations.
  */
-export function readAnswer<T>(
+export function parseRpcResponse<T>(
   peerUrl: string,
   response: JSONRPCResponse,
   schema: z.ZodType<T>,
@@ -73,7 +73,7 @@
       if (!isJSONRPCResponse(payload)) {
         return err({ kind: 'malformed-answer', peerUrl, detail: `status ${response.statusCode}` });
       }
-      return readAnswer(peerUrl, payload, answer);
+      return parseRpcResponse(peerUrl, payload, answer);
     } catch (cause) {
       return err({ kind: 'unreachable', peerUrl, detail: (cause as Error).message });
     } finally {
