--- a/packages/load/src/bench/decision-cost.ts
+++ b/packages/load/src/bench/decision-cost.ts
@@ -40,7 +40,7 @@
 export function measureDecisionCost(): number {
   const index = new ConfigurationIndex(1, largeConfiguration());
   const fleet = newFleet();
-  fleet.configure(index);
+  fleet.applyConfiguration(index);
   publishEngines(fleet, index);
   const names = index.configuration.adapters.map((adapter) => `${adapter.base}:${adapter.name}@v1`);
   const decide = (count: number): void => {
@@ -82,7 +82,7 @@
       return hash32(`adapter-${adapter}@v1`);
     });
     const value = [1, position % 32, 0, 1, loaded];
-    fleet.view.update({
+    fleet.remoteEngines.update({
       owner: `node-${1 + (position % (NODES - 1))}`,
       key: `e/${engine.id}`,
       version: 1,
--- a/packages/node/src/control/engine-fleet.ts
+++ b/packages/node/src/control/engine-fleet.ts
@@ -70,7 +70,7 @@
     this.#options = options;
   }
 
-  get view(): RemoteEngines {
+  get remoteEngines(): RemoteEngines {
     return this.#remoteEngines;
   }
 
@@ -83,7 +83,7 @@
   }
 
   /** Applies a new configuration. */
-  configure(index: ConfigurationIndex): void {
+  applyConfiguration(index: ConfigurationIndex): void {
     this.#index = index;
     this.#adapterCandidates = new AdapterCandidates(index);
     this.#pinnedKeys = pinsByEngine(index, this.#adapterCandidates);
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -250,14 +250,14 @@
       events: {
         onMember: (member) => this.#memberChanged(member),
         onRevision: (member, stamp) => void this.follower.handlePeerStamp(member.id, stamp),
-        onRecord: (record) => this.fleet.view.update(record),
+        onRecord: (record) => this.fleet.remoteEngines.update(record),
       },
     });
   }
 
   #memberChanged(member: Member): void {
-    if (member.state === 'dead' || member.state === 'left') this.fleet.view.forgetOwner(member.id);
-    else for (const record of this.membership.recordsOf(member.id)) this.fleet.view.update(record);
+    if (member.state === 'dead' || member.state === 'left') this.fleet.remoteEngines.forgetOwner(member.id);
+    else for (const record of this.membership.recordsOf(member.id)) this.fleet.remoteEngines.update(record);
     this.ownership.reconcileSoon();
     this.#options.telemetry.metrics.gauge('membership.alive', this.membership.present().length);
   }
@@ -317,7 +317,7 @@
 
   #applyRevision(index: ConfigurationIndex): void {
     if (this.#state === 'starting') this.#state = 'ready';
-    this.fleet.configure(index);
+    this.fleet.applyConfiguration(index);
     this.membership.gossipNow();
   }
 
@@ -367,7 +367,7 @@
       present: () => this.membership.present(),
       member: (id) => this.membership.get(id),
       listedNodes: () => this.#machines.entryNodes(),
-      knownOwner: (engineId) => this.fleet.view.ownerOf(engineId),
+      knownOwner: (engineId) => this.fleet.remoteEngines.ownerOf(engineId),
       caller: ports.peers,
       clientOf: (engine) => this.fleet.clientOf(engine),
       clock,
--- a/packages/node/src/requests/generation-router.ts
+++ b/packages/node/src/requests/generation-router.ts
@@ -185,7 +185,11 @@
     const { clock, fleet, forward, telemetry } = this.#options;
     const { engine, owner } = choice;
     telemetry.metrics.count('requests.forwarded');
-    fleet.view.requestSent(engine.id, `${generation.model.adapter}@${generation.model.version}`, clock.now());
+    fleet.remoteEngines.requestSent(
+      engine.id,
+      `${generation.model.adapter}@${generation.model.version}`,
+      clock.now(),
+    );
     const result = await forward.forward(
       {
         peerUrl: owner.peerUrl,
@@ -202,10 +206,10 @@
       sink,
       signal,
     );
-    fleet.view.requestEnded(engine.id);
+    fleet.remoteEngines.requestEnded(engine.id);
     if (result.isOk()) return { kind: 'done' };
     if (result.error.kind === 'unreachable' || isNotOwner(result.error))
-      fleet.view.removeOwner(engine.id, owner.id);
+      fleet.remoteEngines.removeOwner(engine.id, owner.id);
     return forwardOutcome(result.error);
   }
 
