--- a/packages/gateway/src/cluster/fleet-quotas.ts
+++ b/packages/gateway/src/cluster/fleet-quotas.ts
@@ -28,7 +28,7 @@
    * is too small to use.
    */
   readonly needsHome: boolean;
-  /** See {@link QuotaLedgerOptions.retries}. */
+  /** See {@link QuotaLenderOptions.retries}. */
   readonly retries: 'in-turn' | 'next-unit';
 }
 
--- a/packages/gateway/src/cluster/order-permission.ts
+++ b/packages/gateway/src/cluster/order-permission.ts
@@ -110,7 +110,7 @@
     if (seesMost !== this.#seesMost) this.#logVisibility(seesMost);
     if (!seesMost && this.#seesMost) {
       this.#lastDisruptionMs = clock.now();
-      onStateUncertain('out of sight of most nodes');
+      onStateUncertain('lost contact with most nodes');
     }
     this.#seesMost = seesMost;
     if (leads) void this.#quorum.renew();
