--- a/packages/slots/src/adapter-loader.ts
+++ b/packages/slots/src/adapter-loader.ts
@@ -152,7 +152,10 @@
     this.#options.after(RETRY_PRESENCE_MS, () => this.#markLoaded(slot));
   }
 
-  /** Marks adapters that a report shows as loading as loaded after a while, since no order of this node does it. */
+  /**
+   * After a report, marks its loading adapters as loaded after a delay: their loads may have been ordered by another node,
+   * so that nothing else would mark them.
+   */
   awaitPending(slots: EngineSlots): void {
     for (const slot of slots.slots.values()) {
       if (slot.state === 'loading') this.#options.after(ADOPTED_ARRIVAL_MS, () => this.#markLoaded(slot));
--- a/packages/slots/src/engine-rate.ts
+++ b/packages/slots/src/engine-rate.ts
@@ -1,7 +1,7 @@
 import { UnitBucket, type QuotaRule } from '@canvasridge/admission';
 import type { Clock } from '@canvasridge/clock';
 
-/** Enforces the limit on requests per second that an engine may state for all nodes together. */
+/** Enforces the limit on requests per second that an engine may announce for all nodes together. */
 export class EngineRate {
   readonly #clock: Clock;
   #bucket: UnitBucket;
@@ -13,7 +13,7 @@
     this.#bucket = new UnitBucket(clock, 0);
   }
 
-  /** The engine's limit; undefined while it states none. */
+  /** The engine's limit; undefined while it announces none. */
   get rule(): QuotaRule | undefined {
     return this.#rule;
   }
@@ -25,7 +25,7 @@
     this.#rule = rule;
   }
 
-  /** Whether the engine stated a limit before and states none now. */
+  /** Whether the engine announced a limit before and announces none now. */
   get hasEnded(): boolean {
     return this.#hasEnded;
   }
--- a/packages/slots/src/engine-registry.ts
+++ b/packages/slots/src/engine-registry.ts
@@ -66,7 +66,7 @@
 
   /**
    * Sum of the rate limits, in requests per second, of the engines that may serve the request and hold its model.
-   * Undefined unless all of them state a limit.
+   * Undefined unless all of them announce a limit.
    */
   ratePerSecond(request: SlotRequest): number | undefined {
     let sum: number | undefined;
--- a/packages/slots/src/load-placement.ts
+++ b/packages/slots/src/load-placement.ts
@@ -22,7 +22,10 @@
   readonly ageMs: number;
   /** Age at which the waiting request has to be sent to an idle engine at the latest to meet its objective. */
   readonly latestStartAgeMs: number;
-  /** Time until the waiting request could start on an engine that has the adapter; Infinity if there is none. */
+  /**
+   * The cost of a load, mainly the delay until the request can start after it, must be below this: the time until the
+   * request could start on an engine that has the adapter; Infinity if there is none.
+   */
   readonly maxStartDelayMs: number;
   /** Whether an engine likely has the adapter in its host memory. */
   readonly hasWarmEngine: boolean;
--- a/packages/slots/src/load-time-estimate.ts
+++ b/packages/slots/src/load-time-estimate.ts
@@ -1,9 +1,9 @@
 import type { Clock } from '@canvasridge/clock';
 
 /**
- * The estimate is multiplied by one of these when an adapter was not loaded yet, or was. At equilibrium about one load in
- * 26 is tried too early, which costs each request that waits for it a refusal by the engine and a retry from the fleet's
- * retry budget.
+ * The estimate is multiplied by GROWTH_FACTOR when a request found its adapter not loaded yet, and by SHRINK_FACTOR when it
+ * found it loaded. At equilibrium about one load in 26 is tried too early, which costs each request that waits for it a
+ * refusal by the engine and a retry from the fleet's retry budget.
  */
 const GROWTH_FACTOR = 1.08;
 const SHRINK_FACTOR = 0.997;
--- a/packages/slots/src/order-lease.ts
+++ b/packages/slots/src/order-lease.ts
@@ -11,7 +11,10 @@
 import { OrderFence } from './order-fence.js';
 import type { SlotTiming } from './timing.js';
 
-/** After this many consecutive orders rejected for a low fence, each with a higher one, another holder is assumed active. */
+/**
+ * How many consecutive orders may be rejected for a low fence, each retried with a higher one. After one more, another
+ * holder is assumed active.
+ */
 const MAX_FENCED_ORDERS = 2;
 /**
  * How long after a report was requested an order may rely on the count in it, in milliseconds. This is about the lag of
@@ -76,7 +79,10 @@
     }
   | { readonly kind: 'closed' };
 
-/** The order was not sent because this node is not (or no longer) the holder of the engine. */
+/**
+ * The order was not sent: this node is not the holder of the engine, has yet to confirm that it still is, or may not give
+ * orders now.
+ */
 export interface NotHeld {
   readonly kind: 'not-held';
 }
@@ -119,7 +125,10 @@
     return this.#state.kind === 'held';
   }
 
-  /** Earliest time until this node can become holder, in milliseconds. Infinity if closed. */
+  /**
+   * Time until this node can become holder by observing an unchanged count for a whole lease, in milliseconds, if no order
+   * of another node is seen before. It becomes holder sooner if it may take the engine at once. Infinity if closed.
+   */
   get untilHeldMs(): number {
     const state = this.#state;
     const { timing, clock } = this.#options;
--- a/packages/slots/src/peer-visibility.ts
+++ b/packages/slots/src/peer-visibility.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@canvasridge/clock';
 
-/** How long a member that became unreachable counts as possibly on the other side of a partition. */
+/** How long a member that is no longer visible counts as possibly on the other side of a partition. */
 const LOST_RETENTION_MS = 8000;
 /** Several gossip periods: by then, a node that sees the first other member again has also learnt of their leader. */
 const REUNION_DELAY_MS = 2000;
@@ -18,7 +18,7 @@
   readonly #startedMs: number;
   #alive: readonly string[] = [];
   #visible = new Set<string>();
-  /** Members that became unreachable without announcing their departure, and when that was noticed. */
+  /** Members that are no longer visible and did not announce their departure, and when that was noticed. */
   readonly #lostAtMs = new Map<string, number>();
   /** Since when this node may be cut off from the majority; undefined if it is not. */
   #minoritySinceMs: number | undefined;
@@ -70,7 +70,7 @@
     return this.#visible;
   }
 
-  /** Members that recently became unreachable without announcing their departure. */
+  /** Members that were visible recently, no longer are, and did not announce their departure. */
   get lost(): readonly string[] {
     return [...this.#lostAtMs.keys()];
   }
--- a/packages/slots/src/pool-figures.ts
+++ b/packages/slots/src/pool-figures.ts
@@ -26,7 +26,7 @@
   readonly busy: number;
   /** Engines that are avoided for a while after a failure. */
   readonly avoided: number;
-  /** Engines that state a limit on requests per second. */
+  /** Engines that announce a limit on requests per second. */
   readonly rateLimited: number;
   /** Adapters used by running requests. */
   readonly slotsInUse: number;
--- a/packages/slots/src/prefill-speed.ts
+++ b/packages/slots/src/prefill-speed.ts
@@ -2,7 +2,7 @@
 const INITIAL_MS_PER_TOKEN = 0.05;
 /** Weight of the initial estimate or the pool's speed, in tokens: one or two prompts of usual length. */
 const PRIOR_TOKENS = 3000;
-/** Half-life of observations in prefill time, so that an engine that becomes slow is recognized within a few answers. */
+/** Half-life of observations in prefill time, so that an engine that becomes slow is recognized within a few responses. */
 const HALF_LIFE_MS = 1200;
 /** Bounds of the estimate, in ms per token. Observations beyond them have other causes than prefill. */
 const MIN_MS_PER_TOKEN = 0.002;
--- a/packages/slots/src/prompt-backlog.ts
+++ b/packages/slots/src/prompt-backlog.ts
@@ -2,7 +2,7 @@
 
 /** Part of a request's time to first event that is not prefill, in ms: two network hops and one step of the engine. */
 const TRANSIT_MS = 10;
-/** An adapter stays on an engine for some seconds, so engines are compared by the work they got over about as long. */
+/** An adapter stays on an engine for some seconds, so engines are compared by the work they received in a similar time. */
 const RECENT_HALF_LIFE_MS = 1500;
 /** Maximum factor by which a silent engine is assumed to be slower than its learnt speed. */
 const MAX_STALL_FACTOR = 6;
--- a/packages/slots/src/refusal-policy.ts
+++ b/packages/slots/src/refusal-policy.ts
@@ -38,7 +38,7 @@
 
 /**
  * Refuses a waiting request as soon as it is estimated that it can't start within the time its client waits. No other
- * request is refused, not even a late one: a late answer reaches a client sooner than a refusal and a retry, so the
+ * request is refused, not even a late one: a late response reaches a client sooner than a refusal and a retry, so the
  * objective plays no part. The estimate adds the time until the request's turn, from how fast slots become idle or
  * fetches end, and the load after it.
  */
@@ -86,7 +86,8 @@
     const turnMs = (aheadCount + 1) * gapMs;
     if (!engines.servesRequest(request) && ageMs >= NO_ENGINE_GRACE_MS) {
       list.remove(request.id);
-      // If the model is served, this request excludes all engines that serve it; a retry at another node may not.
+      // The model may be served only by engines that this request's node must not use. A retry through another node can
+      // reach them.
       const isServed = engines.serves(request.model);
       refuse(waiting, 'no-engine', isServed ? RETRY_AFTER_EXCLUSION_MS : RETRY_WITHOUT_ENGINE_MS);
       return true;
--- a/packages/slots/src/slot-pool.ts
+++ b/packages/slots/src/slot-pool.ts
@@ -218,7 +218,7 @@
     this.#refusals.scheduleCheck();
   }
 
-  /** Sets the limit that an engine states for the requests of all nodes together; undefined if it no longer states one. */
+  /** Sets the limit that an engine announces for the requests of all nodes together; undefined if it announces none now. */
   setRateLimit(engineId: string, rule: QuotaRule | undefined): void {
     const entry = this.#engines.get(engineId);
     if (entry === undefined) return;
--- a/packages/slots/src/slot-request.ts
+++ b/packages/slots/src/slot-request.ts
@@ -15,7 +15,7 @@
   readonly objectiveMs: number;
   /** Time since the client's request arrived. */
   readonly ageMs: number;
-  /** Age after which an answer is of no use. */
+  /** Age after which a response is of no use. */
   readonly timeoutMs: number;
   /** Age after which the client gives up if it has received nothing. */
   readonly startWithinMs: number;
@@ -61,7 +61,7 @@
   readonly model: string;
   readonly adapter: string | undefined;
   readonly promptTokens: number;
-  /** Whether the first event of the answer has arrived. */
+  /** Whether the first event of the response has arrived. */
   readonly started: boolean;
   /** Milliseconds until the request times out. */
   readonly leftMs: number;
--- a/packages/slots/src/waiting-list.ts
+++ b/packages/slots/src/waiting-list.ts
@@ -6,9 +6,9 @@
 /** A request has at least this fraction of its objective to be started, even if its prefill takes nearly all of it. */
 const MIN_START_SHARE = 0.25;
 
-/** Each lower priority level moves the start deadline back by this much. */
+/** Each lower priority level makes the start deadline this much later. */
 const MS_PER_PRIORITY_LEVEL = 60;
-/** The start deadline of a retry after a refusal is moved forward by this much, because a second refusal costs more. */
+/** The start deadline of a retry after a refusal is this much earlier, because a second refusal costs more. */
 const RETURNED_BOOST_MS = 150;
 
 /** How tenants share the capacity that becomes free. */
@@ -40,7 +40,7 @@
   readonly request: SlotRequest;
   /** Arrival of the client's request on this node's clock. */
   readonly arrivedMs: number;
-  /** Whether it is a retry after a refusal. A second refusal would be worse than a late answer. */
+  /** Whether it is a retry after a refusal. A second refusal would be worse than a late response. */
   readonly returned: boolean;
   readonly decide: (decision: SlotDecision) => void;
   /** Why it got no engine at the last attempt to place it. */
--- a/packages/slots/test/engine-speeds.test.ts
+++ b/packages/slots/test/engine-speeds.test.ts
@@ -82,9 +82,9 @@
   [0.01, 0.04, 0.16],
 ]) {
   test(`engines that process a token in ${speeds.join(', ')} ms serve nearly all requests in time at half load`, async (t) => {
-    const played = await runLoad(speeds, 0.5, 3);
-    t.true(played.inTimeShare > 0.85, `${played.inTimeShare}`);
-    t.deepEqual(played.violations, []);
+    const result = await runLoad(speeds, 0.5, 3);
+    t.true(result.inTimeShare > 0.85, `${result.inTimeShare}`);
+    t.deepEqual(result.violations, []);
   });
 }
 
--- a/packages/slots/test/fetch-window.test.ts
+++ b/packages/slots/test/fetch-window.test.ts
@@ -16,15 +16,16 @@
 ): Promise<number[]> {
   const sizes: number[] = [];
   for (let round = 0; round < rounds; round += 1) {
-    const underWay = window.size;
-    const tookMs = BASELINE_MS * Math.max(underWay / capacity, 1);
+    const inProgress = window.size;
+    const tookMs = BASELINE_MS * Math.max(inProgress / capacity, 1);
     // Requests repeatedly come slightly too early, because the load time estimate is tight.
     for (let ageMs = BASELINE_MS; ageMs < tookMs; ageMs += 50) {
-      for (let fetch = 0; fetch < underWay; fetch += 1) window.recordMissing(String(fetch), ageMs, underWay);
+      for (let fetch = 0; fetch < inProgress; fetch += 1)
+        window.recordMissing(String(fetch), ageMs, inProgress);
     }
     await clock.runUntil(clock.now() + Math.max(tookMs, 350));
-    for (let ended = 1; ended <= underWay; ended += 1) window.recordArrival(tookMs, underWay - ended);
-    sizes.push(underWay);
+    for (let ended = 1; ended <= inProgress; ended += 1) window.recordArrival(tookMs, inProgress - ended);
+    sizes.push(inProgress);
   }
   return sizes;
 }
@@ -73,11 +74,11 @@
   const window = new FetchWindow(clock, BASELINE_MS);
   for (let round = 0; round < 60; round += 1) {
     await clock.runUntil(clock.now() + BASELINE_MS);
-    const underWay = window.size;
-    for (let fetch = 0; fetch < underWay / 2; fetch += 1)
-      window.recordMissing(`${round}/${fetch}`, 2 * BASELINE_MS, underWay);
-    for (let ended = 1; ended <= underWay / 2; ended += 1)
-      window.recordArrival(BASELINE_MS, underWay - ended);
+    const inProgress = window.size;
+    for (let fetch = 0; fetch < inProgress / 2; fetch += 1)
+      window.recordMissing(`${round}/${fetch}`, 2 * BASELINE_MS, inProgress);
+    for (let ended = 1; ended <= inProgress / 2; ended += 1)
+      window.recordArrival(BASELINE_MS, inProgress - ended);
   }
   t.true(window.size > 100, `size ${window.size}`);
 });
--- a/packages/slots/test/order-fence.test.ts
+++ b/packages/slots/test/order-fence.test.ts
@@ -1,5 +1,5 @@
 /**
- * Guards against a failure seen in operation: after all processes were lost, a new holder sent an order with a lower fence
+ * Guards against a failure seen in production: after all processes were lost, a new holder sent an order with a lower fence
  * than its predecessor.
  *
  * Leadership terms used to be counted up from the terms a node had seen, so they restarted at 1 when all nodes restarted.
--- a/packages/slots/test/rate-limit.test.ts
+++ b/packages/slots/test/rate-limit.test.ts
@@ -1,4 +1,4 @@
-/** Engines that state a limit on requests per second for all nodes together, in a pool whose leader makes all grants. */
+/** Engines that announce a limit on requests per second for all nodes together, in a pool whose leader makes all grants. */
 import { Random, VirtualClock, hashSeed } from '@canvasridge/clock';
 import test from 'ava';
 import type { SlotDecision, SlotPool } from '../src/index.js';
--- a/packages/slots/test/slot-pool.test.ts
+++ b/packages/slots/test/slot-pool.test.ts
@@ -361,8 +361,8 @@
   const clock = new VirtualClock();
   const pool = newPool(clock, [new SimulatedEngine(clock, 'e1')]);
   await clock.runUntil(HELD_MS);
-  const guessMs = (): number => pool.describe().coldLoadMs;
-  const firstMs = guessMs();
+  const estimateMs = (): number => pool.describe().coldLoadMs;
+  const firstMs = estimateMs();
   const waiting = request('a');
   pool.acquire(waiting, () => undefined);
   await clock.runUntil(HELD_MS + 20);
@@ -373,8 +373,8 @@
       if (decision.kind === 'granted') pool.started(decision.requestId);
     });
   use('a');
-  t.is(guessMs(), firstMs, 'it had been loaded for long');
+  t.is(estimateMs(), firstMs, 'it had been loaded for long');
   use('b');
   await clock.runUntil(HELD_MS + 2500);
-  t.true(guessMs() < firstMs);
+  t.true(estimateMs() < firstMs);
 });
