--- a/packages/gateway/src/backends/backend-availability.ts
+++ b/packages/gateway/src/backends/backend-availability.ts
@@ -19,10 +19,10 @@
  */
 export const RETRY_ELSEWHERE_MS = 20;
 /**
- * Share of its latency objective within which a request must be sent to a backend; the rest is left for the
- * backend to process it.
+ * Fraction of its latency objective within which a request must be sent to a backend; the rest is left for
+ * the backend to process it.
  */
-const MAX_START_SHARE = 0.7;
+const LATEST_START_SHARE = 0.7;
 
 /** Why nothing may be sent to any backend of a service, and for how long. */
 interface Unavailability {
@@ -102,7 +102,7 @@
       if (unavailability === undefined || cancelled.aborted) return undefined;
       const { remainingMs, reason } = unavailability;
       const ageMs = context.ageMs + clock.now() - sinceMs;
-      if (ageMs + remainingMs > context.route.objectiveMs * MAX_START_SHARE) {
+      if (ageMs + remainingMs > context.route.objectiveMs * LATEST_START_SHARE) {
         // A rate limit applies to all nodes together, so another node could not send the request either.
         const isBetterElsewhere = reason === 'backing-off' && hasOtherServingNodes();
         const retryAfterMs = isBetterElsewhere ? Math.min(remainingMs, RETRY_ELSEWHERE_MS) : remainingMs;
--- a/packages/gateway/src/backends/backend-rate-limits.ts
+++ b/packages/gateway/src/backends/backend-rate-limits.ts
@@ -8,8 +8,8 @@
  */
 const MIN_RATE_PER_SECOND = 0.1;
 /**
- * Burst size: this number of requests, for services with infrequent callers, plus the requests that the
- * limit allows in BURST_SECONDS.
+ * Smallest burst, for services with infrequent callers. The burst is larger than this by the requests that
+ * the limit allows in BURST_SECONDS.
  */
 const MIN_BURST = 2;
 const BURST_SECONDS = 0.5;
--- a/packages/gateway/src/backends/picker.ts
+++ b/packages/gateway/src/backends/picker.ts
@@ -21,7 +21,7 @@
   readonly timeoutMs: number;
   /** Milliseconds after arrival at which the client gives up unless it has received more data by then. */
   readonly startWithinMs: number;
-  /** Backends that must not be chosen because they were already tried. */
+  /** Backends that must not be chosen: those already tried and those whose granted slot was unusable. */
   readonly excluded: readonly string[];
 }
 
--- a/packages/gateway/src/backends/retry-budget.ts
+++ b/packages/gateway/src/backends/retry-budget.ts
@@ -11,8 +11,8 @@
 
 const WINDOW_STEPS = 10;
 /**
- * Shares of its allowance that a node really uses, since the nodes differ on the time and on how many of
- * them there are.
+ * Fractions of its allowance that a node uses, since nodes differ in their clocks and in how many nodes they
+ * see.
  */
 const RATIO_SHARE = 0.8;
 const SLACK_SHARE = 0.7;
@@ -53,7 +53,7 @@
   }
 }
 
-/** Counts the events of the last window, in buckets of a fraction of it. */
+/** Counts the events of the last window, in buckets of a tenth of the window, see WINDOW_STEPS. */
 class SlidingWindowCounter {
   readonly #stepMs: number;
   readonly #counts = new Array<number>(WINDOW_STEPS + 1).fill(0);
--- a/packages/gateway/src/cluster/cluster.ts
+++ b/packages/gateway/src/cluster/cluster.ts
@@ -29,7 +29,7 @@
   /** `IP:port` for callers. */
   readonly frontAddress: string;
   readonly processToken: string;
-  /** Processor time available to this node, in cores of the usual speed. */
+  /** CPU time that this node may use, in cores of the usual speed. */
   readonly capacity: number;
   readonly transport: DatagramTransport;
   readonly clock: Clock;
@@ -84,10 +84,10 @@
   readonly candidates: Map<string, readonly string[]>;
 }
 
-/** What a node publishes about requests during which backends failed, by their fingerprints. */
+/** What a node publishes about requests during which backends crashed, by their fingerprints. */
 export interface PublishedQuarantine {
   readonly quarantined: readonly QuarantinedRequest[];
-  /** Requests that are quarantined if another backend fails before one has completed them. */
+  /** Requests that are quarantined if another backend crashes before one has completed them. */
   readonly suspects: readonly string[];
 }
 
@@ -321,8 +321,8 @@
   }
 
   /**
-   * Numbers of visible members, without this node, and of members that recently became invisible, for log
-   * lines.
+   * Numbers of visible members, without this node, and of members that were visible recently and no longer
+   * are, for log lines.
    */
   get visibilityCounts(): { readonly visible: number; readonly lost: number } {
     return { visible: this.#visibility.visible.size, lost: this.#visibility.lost.length };
@@ -338,7 +338,7 @@
     return this.#visibility.isolatedMs;
   }
 
-  /** Members that recently became invisible without announcing that they leave. */
+  /** Members that were visible recently, no longer are, and did not announce that they leave. */
   lostMembers(): readonly string[] {
     return this.#visibility.lost;
   }
--- a/packages/gateway/src/cluster/configuration-fetcher.ts
+++ b/packages/gateway/src/cluster/configuration-fetcher.ts
@@ -13,7 +13,10 @@
 
 /** Initial timeout for a part: a peer queues at most four parts for this node, 0.1 s of the slowest link. */
 const FIRST_TIMEOUT_MS = 300;
-/** A part is awaited for this many times as long as the slowest recent one took. */
+/**
+ * The next part is awaited for this many times as long as the last one took, but at least FIRST_TIMEOUT_MS
+ * and at most MAX_TIMEOUT_MS.
+ */
 const TIMEOUT_FACTOR = 4;
 const MAX_TIMEOUT_MS = 2000;
 /** Pause before a peer whose link is full is asked again. */
@@ -110,8 +113,8 @@
    * there is none to ask.
    */
   #nextSource(): Source | undefined {
-    const near = this.#sources.find(({ isSameZone }) => isSameZone);
-    if (near !== undefined) return near;
+    const sameZoneSource = this.#sources.find(({ isSameZone }) => isSameZone);
+    if (sameZoneSource !== undefined) return sameZoneSource;
     const idleMs = this.#options.clock.now() - this.#progressMs;
     return idleMs >= OTHER_ZONE_AFTER_MS || this.#partial !== undefined ? this.#sources[0] : undefined;
   }
--- a/packages/gateway/src/cluster/departure-budget.ts
+++ b/packages/gateway/src/cluster/departure-budget.ts
@@ -6,7 +6,7 @@
  * Where every node reads the store, there is one step: a reader pauses after changes, so that many arrive
  * together. Where a few nodes read it for the others, the list of a follower in contact with a reader that
  * has contact with the store is at most `trustedAge + poll + three hedges` = 0.57 of the bound old, plus the
- * transit time of calls and the follower's own waits for processor time (a reader's waits are part of the age
+ * transit time of calls and the follower's own waits for CPU time (a reader's waits are part of the age
  * that it states): an answer counts only if its reader heard from the store at most `trustedAge` ago, and a
  * reader that does not answer is passed over after a hedge delay. The rest is for the sender: to request a
  * slot, to connect, and for data queued on its link.
@@ -23,7 +23,7 @@
 const SEND_AGE_SHARE = 0.62;
 /**
  * From this age on it asks them again right before the request, which meanwhile waited for a connection or
- * for processor time, is written: 0.15 is left for data queued on the sender's link.
+ * for CPU time, is written: 0.15 is left for data queued on the sender's link.
  */
 const FINAL_CHECK_AGE_SHARE = 0.85;
 /** From this age on a follower reads the store itself. */
--- a/packages/gateway/src/cluster/directory.ts
+++ b/packages/gateway/src/cluster/directory.ts
@@ -24,7 +24,7 @@
 /**
  * Lists the nodes to which callers connect: those that serve now, the nearest first. Of these it lists the
  * ones with the highest capacity that lead no pools, as long as none of them is overloaded: requests through
- * a machine with more processor time and bandwidth start sooner, a stronger process is back sooner after a
+ * a machine with more CPU time and bandwidth start sooner, a stronger process is back sooner after a
  * power failure, and with few nodes the connections to backends stay few and reused. Otherwise it lists all
  * of them.
  */
--- a/packages/gateway/src/cluster/fleet-quarantine.ts
+++ b/packages/gateway/src/cluster/fleet-quarantine.ts
@@ -10,7 +10,7 @@
 import type { Cluster } from './cluster.js';
 import type { PeerCaller } from './peer-caller.js';
 
-/** Reports to a home node the requests during which backends failed. */
+/** Reports to a home node the requests during which backends crashed. */
 export const INTERRUPTED_METHOD = 'quarantine.interrupted';
 
 /** Reports to a home node that a backend has completed a request. */
@@ -21,7 +21,7 @@
   readonly fingerprint: string;
 }
 
-/** A backend failed while it ran a request. */
+/** A backend crashed while it ran a request: its connection was lost. */
 export interface Interruption {
   readonly fingerprint: string;
   readonly backend: string;
@@ -58,15 +58,15 @@
 }
 
 /**
- * Number of different backends that must fail during a request before it is quarantined. Two are not enough:
- * where engines fail together, a request that is retried at once can hit a second failure by chance, and
+ * Number of different backends that must crash during a request before it is quarantined. Two are not enough:
+ * where engines crash together, a request that is retried at once can hit a second crash by chance, and
  * would be served at its third attempt.
  */
 const QUARANTINE_THRESHOLD = 3;
 /**
- * Number of backends from which a request is a suspect: a node that sees it complete reports that. Otherwise
- * a request that is sent again and again, such as a status query, would sooner or later be running at the
- * failure of every backend.
+ * Number of crashed backends from which a request is a suspect: a node that sees it complete reports that,
+ * and its interruptions are forgotten. Without that, a request that is sent again and again, such as a status
+ * query, would sooner or later have been running on three backends when they crashed for other reasons.
  */
 const SUSPECT_THRESHOLD = 2;
 /** As many as fit into one gossip datagram beside a full list of quarantined requests. */
@@ -74,10 +74,10 @@
 /** Nodes that count interruptions: one may fail and another be cut off before the third interruption. */
 const HOME_COUNT = 3;
 const HOMES_RANKING = 'quarantine';
-/** All interruptions of an engine that failed are reported in one message. */
+/** All interruptions by the crash of an engine are reported in one message. */
 const BATCH_DELAY_MS = 5;
 /**
- * A request is not retried before a home has answered or this time has passed. Without the wait, the failure
+ * A request is not retried before a home has answered or this time has passed. Without the wait, the crash
  * of the third backend was followed by that of a fourth: the request was already on its way again when the
  * homes had counted. A home answers within about 10 ms.
  */
@@ -88,7 +88,7 @@
 const REPORT_TIMEOUT_MS = 500;
 /**
  * Number of interruptions observed by this node that it keeps and reports to each node that becomes a home:
- * what ran on two engines that failed. They take about 12 KB, once, when a home changes.
+ * what ran on two engines that crashed. They take about 12 KB, once, when a home changes.
  */
 const MAX_LOCAL_INTERRUPTIONS = 192;
 /**
--- a/packages/gateway/src/cluster/fleet-quotas.ts
+++ b/packages/gateway/src/cluster/fleet-quotas.ts
@@ -14,7 +14,7 @@
 
 /** Asks the home node of some tenants for units of their quotas. */
 export const BORROW_METHOD = 'quota.borrow';
-/** The same for backends that state how many requests they accept from all nodes together. */
+/** The same for backends that announce how many requests they accept from all nodes together. */
 export const RATE_BORROW_METHOD = 'rate-limit.borrow';
 
 /** A kind of quota: what it limits, the name by which home nodes are ranked, and how they are asked. */
@@ -105,8 +105,8 @@
 
 /**
  * Fraction of the tolerance that callers get as a larger burst: requests are large compared with the burst of
- * a small tenant, and refusing one that is within the window helps nobody. The rest covers what nodes lend
- * that do not see one another.
+ * a small tenant, and refusing one that is within the window helps nobody. The rest is for units lent by
+ * several homes at once, while nodes do not see one another.
  */
 const BURST_TOLERANCE_SHARE = 0.5;
 
--- a/packages/gateway/src/cluster/former-leader.ts
+++ b/packages/gateway/src/cluster/former-leader.ts
@@ -3,7 +3,7 @@
 /** What shows whether a leader is gone: the membership, and what was received over the connection to it. */
 export interface LeaderLiveness extends Pick<Cluster, 'selfId' | 'processOf'> {
   /** Whether a member sent this node anything recently. */
-  readonly heardRecently: (id: string) => boolean;
+  readonly receivedRecently: (id: string) => boolean;
 }
 
 interface LeaderProcess {
@@ -35,7 +35,7 @@
     if (this.#former === undefined) return false;
     const now = this.#liveness.processOf(this.#former.id);
     if (now === undefined || now.token !== this.#former.token) return true;
-    if (now.state === 'dead') return !this.#liveness.heardRecently(this.#former.id);
+    if (now.state === 'dead') return !this.#liveness.receivedRecently(this.#former.id);
     return now.state !== 'alive' && now.state !== 'suspect';
   }
 }
--- a/packages/gateway/src/cluster/key-lease.ts
+++ b/packages/gateway/src/cluster/key-lease.ts
@@ -1,7 +1,7 @@
 import type { DepartureBudget } from './departure-budget.js';
 
 /**
- * How the time within which a withdrawn key must stop working (the revocation bound) is divided. A node
+ * How the time within which a revoked key must stop working (the revocation bound) is divided. A node
  * relies on its configuration for {@link LEASE_SHARE} of the bound, counted from the store's answer; the rest
  * of the bound is for a request that was checked just before the lease expired, on its way to the engine.
  * Operators expect no service from a node that has had no path to the store for that long.
@@ -31,7 +31,7 @@
 
 export const NO_KEY_LEASE: KeyLease = { leaseMs: Infinity, watchMs: Infinity, overdueMs: Infinity };
 
-/** @param revocationMs time within which every node must stop running requests for a withdrawn key */
+/** @param revocationMs time within which every node must stop running requests for a revoked key */
 export function keyLease(revocationMs: number): KeyLease {
   const leaseMs = revocationMs * LEASE_SHARE;
   return { leaseMs, watchMs: leaseMs * WATCH_SHARE, overdueMs: leaseMs * OVERDUE_SHARE };
--- a/packages/gateway/src/cluster/leader-quorum.ts
+++ b/packages/gateway/src/cluster/leader-quorum.ts
@@ -38,8 +38,8 @@
   #askedMs = -Infinity;
   #answeredMs = -Infinity;
   /**
-   * Whether a majority answered the previous request. If not, this node may have missed a change of leader,
-   * and only the next answer counts.
+   * Whether a majority answered the previous request. If not, this node may have missed a change of leader:
+   * the next majority only makes it catch up, and the one after that counts.
    */
   #isReachable = true;
 
--- a/packages/gateway/src/cluster/order-permission.ts
+++ b/packages/gateway/src/cluster/order-permission.ts
@@ -8,7 +8,7 @@
 
 /** Fencing settings of the engines, from the operator's configuration. */
 export interface EngineFences {
-  /** Whether engines refuse an order whose fencing token is lower than one that they have already seen. */
+  /** Whether engines refuse an order whose fence (fencing token) is lower than one that they have seen. */
   readonly checked: boolean;
   /**
    * Time in milliseconds after which a node counts as settled: it was neither paused nor out of contact with
@@ -26,7 +26,7 @@
   readonly cluster: Cluster;
   readonly timing: SlotTiming;
   readonly engineFences: EngineFences;
-  /** Parts of the policy that are disabled, for measurements. */
+  /** Mechanisms of the scheduling policy that are disabled, for measurements. */
   readonly switchedOff: DisabledMechanisms;
   readonly telemetry: Telemetry;
   /** This node was paused or lost contact with most others, so its view of the engines may be out of date. */
@@ -163,7 +163,7 @@
 
   /**
    * Whether this node may become holder of engines without waiting for a lease: the engines refuse lower
-   * fencing tokens, and no previous holder can still be settled (see {@link EngineFences.settledAfterMs}) and
+   * fences, and no previous holder can still be settled (see {@link EngineFences.settledAfterMs}) and
    * reachable. A process that has just started is not yet settled, so its own actions can't conflict with a
    * holder that is.
    */
--- a/packages/gateway/src/cluster/peer-records.ts
+++ b/packages/gateway/src/cluster/peer-records.ts
@@ -13,7 +13,7 @@
 /** Published by a node that is overloaded. */
 const busy = z.object({ token: text });
 /**
- * Fingerprints of requests during which backends failed. The record is short, as all of it has to fit into
+ * Fingerprints of requests during which backends crashed. The record is short, as all of it has to fit into
  * one datagram.
  */
 const quarantine = z.object({
--- a/packages/gateway/src/cluster/peer-uses.ts
+++ b/packages/gateway/src/cluster/peer-uses.ts
@@ -21,8 +21,8 @@
   }
 
   /**
-   * Removes everything held for a peer whose connection ended, and returns it: the peer can't report any more
-   * when it ends.
+   * Removes and returns everything held for a peer whose connection ended, since the peer can no longer
+   * report when its requests end.
    */
   takeAll(peer: PeerConnection): readonly PeerUse[] {
     const uses = this.#byPeer.get(peer);
--- a/packages/gateway/src/cluster/published-state.ts
+++ b/packages/gateway/src/cluster/published-state.ts
@@ -53,7 +53,7 @@
 }
 
 /** Times in milliseconds. */
-export interface SourcePace {
+export interface StoreReadPace {
   /** Longest wait for changes of the list of backends. */
   readonly watchMs: number;
   /** Pause after changes arrived. */
@@ -63,7 +63,7 @@
 }
 
 /** Name by which nodes are ranked as readers of the published state. */
-const READERS_POOL = 'published-state';
+const READERS_RANKING = 'published-state';
 /** Longest watch of the operators' entries where no revocation bound is set for keys. */
 const MAX_OPERATOR_WATCH_MS = 5000;
 const MAX_OPERATOR_OVERDUE_MS = 1000;
@@ -76,7 +76,7 @@
 
 /**
  * Keeps this node up to date with the published state, directly or through peers, and tells how far it can be
- * relied on: the list of backends by its age, rights that can be withdrawn by the age of the configuration.
+ * relied on: the list of backends by its age, rights that can be revoked by the age of the configuration.
  */
 export class PublishedState {
   readonly #options: PublishedStateOptions;
@@ -109,7 +109,7 @@
       ...shared,
       selfId: nodeId,
       nodeCount: () => cluster.nodeCount,
-      ranked: () => cluster.candidates(READERS_POOL),
+      ranked: () => cluster.candidates(READERS_RANKING),
       peerAddress: (id) => cluster.peerAddress(id),
       zoneOf: (id) => cluster.zoneOf(id),
       needsWholeState,
@@ -152,21 +152,21 @@
   // --- the store ---------------------------------------------------------------------------------
 
   /** Sets whether the published state can be read directly; otherwise it is learnt from peers. */
-  setSourceAvailable(isAvailable: boolean): void {
-    this.#exchange.isSourceAvailable = isAvailable;
+  setStoreAvailable(isAvailable: boolean): void {
+    this.#exchange.isStoreAvailable = isAvailable;
   }
 
   /** Whether this node reads the published state itself; otherwise other nodes read it on its behalf. */
-  get readsSource(): boolean {
+  get readsStore(): boolean {
     return this.#follower.reads;
   }
 
   /** Resolves once this node reads the published state itself. */
-  waitUntilReadsSource(): Promise<void> {
+  waitUntilReadsStore(): Promise<void> {
     return this.#follower.waitUntilReading();
   }
 
-  get sourcePace(): SourcePace {
+  get storeReadPace(): StoreReadPace {
     const retryMostMs = this.#follower.isFallbackReader ? FALLBACK_RETRY_MS : READER_RETRY_MS;
     const { readerWatchMs, readerPauseMs, directReaderWatchMs, directReaderPauseMs } = this.#budget;
     return this.#follower.isLarge
@@ -186,13 +186,13 @@
   }
 
   /** Records that the list of backends was complete in the store at this time of this node's clock. */
-  recordStoreAnswer(asOfMs: number): void {
+  onStoreAnswered(asOfMs: number): void {
     this.#follower.onStoreAnswered(asOfMs);
   }
 
   /**
    * Records that the configuration in force was the newest one in the store at this time of this node's
-   * clock. Must not be called while the store holds one that can't be read: it may withdraw rights.
+   * clock. Must not be called while the store holds one that can't be read: it may revoke rights.
    */
   configurationConfirmed(asOfMs: number): void {
     this.#freshness.confirm(this.#options.fleet.configurationVersion, asOfMs);
@@ -221,7 +221,7 @@
     return this.#follower.refreshIfOld();
   }
 
-  /** How far the configuration in force can be relied on for rights that can be withdrawn. */
+  /** How far the configuration in force can be relied on for rights that can be revoked. */
   get configurationLease(): ConfigurationLease {
     return { ageMs: this.#freshness.ageMs, leaseMs: this.#options.keyLease.leaseMs };
   }
--- a/packages/gateway/src/cluster/rate-limit-reporter.ts
+++ b/packages/gateway/src/cluster/rate-limit-reporter.ts
@@ -4,13 +4,13 @@
 export interface RateLimitReporterOptions {
   readonly rateLimits: Pick<BackendRateLimits, 'perSecond'>;
   /**
-   * Reports to the leader of the engine's pool what limit the engine stated: requests a second, null for none
-   * any more.
+   * Reports to the leader of the engine's pool which limit the engine announced: requests per second, or null
+   * if it no longer announces one.
    */
   readonly tell: (backendId: string, perSecond: number | null) => void;
 }
 
-/** Makes sure that the leader of a pool knows the limits that its engines stated in answers to this node. */
+/** Makes sure that the leader of a pool knows the limits that its engines announced to this node. */
 export class RateLimitReporter {
   readonly #options: RateLimitReporterOptions;
   /**
@@ -23,15 +23,15 @@
   }
 
   /**
-   * Records the limit that an engine stated in an answer.
-   * @param perSecond undefined if the engine no longer states a limit
+   * Records the limit that an engine announced in a response.
+   * @param perSecond undefined if the engine no longer announces a limit
    */
-  onLimitStated(backendId: string, perSecond: number | undefined): void {
+  onLimitAnnounced(backendId: string, perSecond: number | undefined): void {
     // The same form as in grants.
-    const stated = perSecond === undefined ? null : rateLimitRule(perSecond).ratePerSecond;
-    if ((this.#knownToLeader.get(backendId) ?? null) === stated) return;
-    this.#knownToLeader.set(backendId, stated);
-    this.#options.tell(backendId, stated);
+    const announced = perSecond === undefined ? null : rateLimitRule(perSecond).ratePerSecond;
+    if ((this.#knownToLeader.get(backendId) ?? null) === announced) return;
+    this.#knownToLeader.set(backendId, announced);
+    this.#options.tell(backendId, announced);
   }
 
   /**
@@ -45,7 +45,7 @@
     }
     this.#knownToLeader.delete(backendId);
     const perSecond = this.#options.rateLimits.perSecond(backendId);
-    if (perSecond !== undefined) this.onLimitStated(backendId, perSecond);
+    if (perSecond !== undefined) this.onLimitAnnounced(backendId, perSecond);
   }
 
   /** The next leader may not know what the previous one knew. */
--- a/packages/gateway/src/cluster/remote-slots.ts
+++ b/packages/gateway/src/cluster/remote-slots.ts
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Drops the connection to a leader that is silent. A leader that is merely busy keeps its connection:
-   * without it, it would cancel everything that this node was granted.
+   * Drops the connection to a leader that is silent. The connection to one that is merely busy is kept: a
+   * leader releases everything that it granted to a node when their connection ends.
    */
   #watchSilence(address: string, peer: LeaderConnection): Timer {
     const receivedBefore = peer.received;
--- a/packages/gateway/src/cluster/slot-answers.ts
+++ b/packages/gateway/src/cluster/slot-answers.ts
@@ -88,7 +88,7 @@
     this.checkUsesKnown(entry);
   }
 
-  /** Once all members have reported what they run, adapters may be unloaded to make room again. */
+  /** Once all members have reported what they run, adapters may be evicted again. */
   checkUsesKnown({ pool, reportedMembers, leading }: PoolEntry): void {
     if (!leading) return;
     const { cluster } = this.#options;
--- a/packages/gateway/src/cluster/slot-protocol.ts
+++ b/packages/gateway/src/cluster/slot-protocol.ts
@@ -24,7 +24,7 @@
   | { readonly kind: 'queued' }
   | { readonly kind: 'not-leader' };
 
-/** Params of {@link STARTED_METHOD}: engines have started to answer these requests. */
+/** Params of {@link STARTED_METHOD}: engines have started their responses to these requests. */
 export interface StartedParams {
   readonly pool: string;
   readonly requestIds: readonly string[];
@@ -50,13 +50,13 @@
 }
 
 /**
- * Params of {@link RATE_LIMIT_METHOD}: an engine has told the sender how many requests it accepts from all
- * nodes together.
+ * Params of {@link RATE_LIMIT_METHOD}: an engine has announced to the sender how many requests it accepts
+ * from all nodes together.
  */
 export const rateLimitParams = z.object({
   pool: z.string(),
   backendId: z.string(),
-  /** Requests a second; null if the engine no longer states a limit. */
+  /** Requests a second; null if the engine no longer announces a limit. */
   perSecond: z.number().nonnegative().nullable(),
 });
 export type RateLimitParams = z.infer<typeof rateLimitParams>;
--- a/packages/gateway/src/cluster/slot-service.ts
+++ b/packages/gateway/src/cluster/slot-service.ts
@@ -38,18 +38,17 @@
 } from './slot-protocol.js';
 
 /**
- * Period in which a node checks members and leadership claims if it leads a pool, is next to lead one, or
- * knows of a pool without a leader.
+ * Period in which a node checks members and leadership claims if it leads a pool, is next to lead one, knows
+ * of a pool without a leader, or knows no pool yet.
  */
 const TICK_MS = 100;
 /**
  * The same period for all other nodes, which changes wake up earlier: in a fleet of hundreds nearly all nodes
- * have nothing to do with slots, and on a weak machine frequent wake-ups take most of the processor time.
+ * have nothing to do with slots, and on a weak machine frequent wake-ups take most of the CPU time.
  */
 const IDLE_TICK_MS = 400;
 /**
- * Starts of answers within this time are reported in one message: each message costs both nodes processor
- * time.
+ * Starts of responses within this time are reported in one message: each message costs both nodes CPU time.
  */
 const STARTED_BATCH_MS = 12;
 const MAX_LEADERS_ASKED = 3;
@@ -57,7 +56,7 @@
  * A leader that sent something within this time counts as reachable: under load it sends several messages in
  * it.
  */
-const HEARD_RECENTLY_MS = 600;
+const RECEIVED_RECENTLY_MS = 600;
 /**
  * Time within which a pool without a leader nearly always gets the next one: the first candidate claims it
  * after 150 ms, and gossip brings that to all nodes within two periods; after a loss of all nodes, the
@@ -65,7 +64,7 @@
  */
 const ELECTION_MS = 800;
 /** A request older than this fraction of its objective can no longer start in time. */
-const LATEST_START_FRACTION = 0.7;
+const LATEST_START_SHARE = 0.7;
 /**
  * For this long after its start a node observes a pool if it is among the first few candidates, as any of
  * them may soon have to lead.
@@ -95,7 +94,7 @@
   readonly #memory = new AdapterMemory();
   readonly #leaderChanged = new Notifier();
   readonly #permission: OrderPermission;
-  /** By pool: requests whose answers have started, which has not been reported to the leader yet. */
+  /** By pool: requests whose responses have started, which has not been reported to the leader yet. */
   readonly #unreportedStarts = new Map<string, string[]>();
   readonly #startedMs: number;
   #stopped = false;
@@ -208,7 +207,7 @@
    */
   async #awaitLeader(entry: PoolEntry, request: SlotRequest): Promise<string | undefined> {
     const { clock } = this.#options;
-    const leftMs = request.objectiveMs * LATEST_START_FRACTION - request.ageMs;
+    const leftMs = request.objectiveMs * LATEST_START_SHARE - request.ageMs;
     const untilMs = clock.now() + Math.min(leftMs, ELECTION_MS);
     while (entry.leadership.leader === undefined && clock.now() < untilMs) {
       await this.#leaderChanged.waitUpTo(clock, untilMs - clock.now());
@@ -217,11 +216,11 @@
   }
 
   /**
-   * An engine stated in an answer to this node how many requests a second it accepts; undefined if it no
-   * longer states a limit.
+   * Called when an engine's response to this node announced a rate limit, in requests per second, or with
+   * undefined if it no longer announces one.
    */
-  rateLimitHeard(backendId: string, perSecond: number | undefined): void {
-    this.#rateLimitReporter.onLimitStated(backendId, perSecond);
+  onRateLimitAnnounced(backendId: string, perSecond: number | undefined): void {
+    this.#rateLimitReporter.onLimitAnnounced(backendId, perSecond);
   }
 
   #reportRateLimit(backendId: string, perSecond: number | null): void {
@@ -321,7 +320,7 @@
     }
   }
 
-  /** Whether this node leads or observes a pool, or knows of a pool without a leader. */
+  /** Whether this node leads or observes a pool, knows of a pool without a leader, or knows no pool yet. */
   #needsFrequentTicks(): boolean {
     const hasLeaders = [...this.#pools.values()].every(({ leadership }) => leadership.leader !== undefined);
     return this.hasPoolRole || !hasLeaders || this.#pools.size === 0;
@@ -360,9 +359,9 @@
     return {
       selfId: cluster.selfId,
       processOf: (id) => cluster.processOf(id),
-      heardRecently: (id) => {
+      receivedRecently: (id) => {
         const address = cluster.peerAddress(id);
-        return address !== undefined && network.heardWithin(address, HEARD_RECENTLY_MS);
+        return address !== undefined && network.receivedWithin(address, RECEIVED_RECENTLY_MS);
       },
     };
   }
@@ -487,7 +486,7 @@
 /** Persistent connections to other nodes, and when something was last received over them. */
 export interface SlotNetwork extends LeaderNetwork {
   /** Whether the connection to a node is open and received something within this time. */
-  heardWithin(address: string, spanMs: number): boolean;
+  receivedWithin(address: string, spanMs: number): boolean;
 }
 
 export interface SlotServiceOptions {
@@ -504,7 +503,7 @@
   readonly timing: SlotTiming;
   readonly holder: OrderHolder;
   readonly engineFences: EngineFences;
-  /** Parts of the policy that are disabled, for measurements. */
+  /** Mechanisms of the scheduling policy that are disabled, for measurements. */
   readonly switchedOff: DisabledMechanisms;
   readonly telemetry: Telemetry;
 }
--- a/packages/gateway/src/cluster/state-exchange.ts
+++ b/packages/gateway/src/cluster/state-exchange.ts
@@ -45,7 +45,7 @@
   readonly #freshness: ConfigurationFreshness;
   readonly #onConfigurationOffered: (version: number, address: string) => void;
   readonly #storeLost = new Notifier();
-  #isSourceAvailable = false;
+  #isStoreAvailable = false;
   #stopped = false;
 
   constructor(options: {
@@ -80,9 +80,9 @@
   }
 
   /** Whether the published state can currently be read directly. */
-  set isSourceAvailable(isAvailable: boolean) {
-    if (isAvailable === this.#isSourceAvailable) return;
-    this.#isSourceAvailable = isAvailable;
+  set isStoreAvailable(isAvailable: boolean) {
+    if (isAvailable === this.#isStoreAvailable) return;
+    this.#isStoreAvailable = isAvailable;
     if (!isAvailable) this.#storeLost.notify();
     this.#telemetry.event(isAvailable ? 'info' : 'warn', 'store.dependency', 'store', {
       state: isAvailable ? 'regained' : 'lost',
@@ -91,7 +91,7 @@
 
   async #poll(): Promise<void> {
     while (!this.#stopped) {
-      if (this.#isSourceAvailable) await this.#storeLost.wait();
+      if (this.#isStoreAvailable) await this.#storeLost.wait();
       if (this.#stopped) return;
       const peer = this.#random.pick(this.#peers());
       if (peer !== undefined) await this.#ask(peer);
--- a/packages/gateway/src/cluster/state-follower.ts
+++ b/packages/gateway/src/cluster/state-follower.ts
@@ -157,7 +157,7 @@
   /**
    * Records that the store answered this node.
    * @param asOfMs time at which the list was complete, rather than when this node processed the answer: a
-   * node that others follow but that gets no processor time would otherwise vouch for entries that it has not
+   * node that others follow but that gets no CPU time would otherwise vouch for entries that it has not
    * read yet
    */
   onStoreAnswered(asOfMs: number): void {
@@ -263,9 +263,9 @@
     const { selfId, zoneOf } = this.#options;
     this.#rotation += 1;
     const zone = zoneOf(selfId);
-    const near = readers.filter((id) => zoneOf(id) === zone);
-    const far = readers.filter((id) => zoneOf(id) !== zone);
-    return [...rotated(near, this.#rotation), ...rotated(far, this.#rotation)];
+    const sameZone = readers.filter((id) => zoneOf(id) === zone);
+    const otherZones = readers.filter((id) => zoneOf(id) !== zone);
+    return [...rotated(sameZone, this.#rotation), ...rotated(otherZones, this.#rotation)];
   }
 
   #mustRead(readers: readonly string[]): boolean {
@@ -287,8 +287,8 @@
   }
 
   /**
-   * Asks readers one after another, until one has news that is recent enough. One that does not answer within
-   * the hedge delay is left pending.
+   * Asks readers one after another, until an answer shows that the list was complete at a later time than
+   * known before, and recently enough. A request that is not answered within the hedge delay is left pending.
    */
   async #pollReaders(readers: readonly string[]): Promise<void> {
     const { clock, budget } = this.#options;
@@ -327,7 +327,7 @@
     if (reply === undefined) return;
     const answer = reply as FollowAnswer;
     const { configurationVersion, configurationAgeMs = Infinity } = answer;
-    this.#options.onConfigurationOffered(configurationVersion, address, this.#isNear(id));
+    this.#options.onConfigurationOffered(configurationVersion, address, this.#isInSameZone(id));
     if (answer.operatorState !== undefined) fleet.applyOperatorState(answer.operatorState);
     // A reader's state from an earlier era confirms nothing that was written in the current one.
     if (!fleet.admitEra(answer.era)) return;
@@ -335,7 +335,7 @@
     if (answer.withheld !== true) this.#applyAnswer(answer, known, askedMs);
   }
 
-  #isNear(id: string): boolean {
+  #isInSameZone(id: string): boolean {
     const { zoneOf, selfId } = this.#options;
     return zoneOf(id) === zoneOf(selfId);
   }
--- a/packages/gateway/src/gateway-node.ts
+++ b/packages/gateway/src/gateway-node.ts
@@ -80,7 +80,7 @@
   /**
    * Clock for information from other nodes and for permissions that they gave to this node: it also runs
    * while the machine is suspended, so that these expire. Single requests, and waits for the end of
-   * permissions that other nodes hold, use the steady clock.
+   * permissions that other nodes hold, use the monotonic clock.
    */
   readonly fleetClock: ContinuousClock;
   /**
@@ -165,7 +165,7 @@
       fleet,
       backoffs,
       rateLimits,
-      onRateLimit: (id, perSecond) => this.#slots.rateLimitHeard(id, perSecond),
+      onRateLimit: (id, perSecond) => this.#slots.onRateLimitAnnounced(id, perSecond),
       clock,
       telemetry,
       metrics: this.metrics,
@@ -367,7 +367,7 @@
       state,
       era: this.fleet.era,
       revision,
-      via: via === 'list' ? (this.published.readsSource ? 'store' : 'reader') : via,
+      via: via === 'list' ? (this.published.readsStore ? 'store' : 'reader') : via,
       listAgeMs: Math.round(this.published.listAgeMs),
     });
   }
--- a/packages/gateway/src/gateway-settings.ts
+++ b/packages/gateway/src/gateway-settings.ts
@@ -25,7 +25,7 @@
   readonly retryBudget: RetryBudgetOptions;
   readonly slotTiming: SlotTiming;
   readonly engineFences: EngineFences;
-  /** Parts of the scheduling policy that are switched off, for measurements. */
+  /** Mechanisms of the scheduling policy that are disabled, for measurements. */
   readonly switchedOff: DisabledMechanisms;
   /** Time within which each node has to know that a backend leaves, in milliseconds. */
   readonly drainMs: number;
--- a/packages/gateway/src/peers/peer-network.ts
+++ b/packages/gateway/src/peers/peer-network.ts
@@ -75,7 +75,7 @@
   }
 
   /** Whether the outgoing connection to a peer is open and received something within this time. */
-  heardWithin(address: string, spanMs: number): boolean {
+  receivedWithin(address: string, spanMs: number): boolean {
     const connection = this.#outgoing.get(address);
     return connection !== undefined && !connection.closed && connection.silentMs <= spanMs;
   }
--- a/packages/gateway/src/request/backend-attempt.ts
+++ b/packages/gateway/src/request/backend-attempt.ts
@@ -103,10 +103,10 @@
 /**
  * Sends a request to one backend and forwards its response.
  *
- * A response that is not an event stream is buffered up to MAX_BUFFERED_BYTES before any of it is forwarded,
- * so that the request can be tried on another backend if it breaks. Of an event stream, only whole events
- * are forwarded. A response that does not name this request's attempt id belongs to another request: it is
- * dropped and its connection closed.
+ * A successful response that is not an event stream is buffered up to MAX_BUFFERED_BYTES, and an error
+ * response entirely, before any of it is forwarded, so that the request can be tried on another backend if
+ * the response breaks. Of an event stream, only whole events are forwarded. A response that does not
+ * name this request's attempt id belongs to another request: it is dropped and its connection closed.
  */
 export class BackendAttempt implements Dispatcher.DispatchHandler {
   readonly #options: AttemptOptions;
--- a/packages/gateway/src/request/exchange.ts
+++ b/packages/gateway/src/request/exchange.ts
@@ -207,7 +207,7 @@
   }
 
   /**
-   * Refuses a quarantined request: so many backends broke off while they ran it that it is taken for the
+   * Refuses a quarantined request: so many backends crashed while they ran it that it is considered the
    * cause.
    */
   #refuseIfQuarantined(): boolean {
--- a/packages/gateway/src/request/request-quarantine.ts
+++ b/packages/gateway/src/request/request-quarantine.ts
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Remaining time of the request's quarantine, in milliseconds: too many backends ended while they ran it.
+   * Remaining time of the request's quarantine, in milliseconds: too many backends crashed while they ran it.
    * Undefined if it is not quarantined.
    */
   get quarantinedMs(): number | undefined {
@@ -49,7 +49,7 @@
    */
   async attemptEnded(backendId: string, attempt: BackendAttempt, outcome: AttemptOutcome): Promise<void> {
     const { quarantine } = this.#context;
-    // A failure does not clear a request: a backend may fail before it has run the request.
+    // An error response does not clear a request: a backend may send one before it has run the request.
     if (outcome.kind === 'complete' && !quarantine.isEmpty) quarantine.completed(this.#fingerprint);
     if (outcome.kind === 'broken') await this.#interrupted(backendId, attempt, outcome);
   }
--- a/packages/gateway/test/backoff-strategies.test.ts
+++ b/packages/gateway/test/backoff-strategies.test.ts
@@ -68,7 +68,7 @@
   inTime: number;
   late: number;
   refused: number;
-  turnedAway: number;
+  backendRefusals: number;
   /** Backoff times in which more than two requests of a node arrived. */
   broken: number;
 }
@@ -93,14 +93,14 @@
     const { clock, fleet, backoffs } = this.#settings;
     const sinceMs = clock.now();
     for (;;) {
-      const closedMs = Math.min(...fleet.backendsOf(SERVICE).map(({ id }) => backoffs.remainingMs(id)));
-      if (closedMs === 0) return undefined;
+      const remainingMs = Math.min(...fleet.backendsOf(SERVICE).map(({ id }) => backoffs.remainingMs(id)));
+      if (remainingMs === 0) return undefined;
       const latestMs = timeoutMs - WORK_MS - (ageMs + clock.now() - sinceMs);
-      if (this.#strategy !== 'wait' || closedMs > latestMs) {
-        const retryAfterMs = this.#strategy === 'elsewhere' ? RETRY_ELSEWHERE_MS : closedMs;
+      if (this.#strategy !== 'wait' || remainingMs > latestMs) {
+        const retryAfterMs = this.#strategy === 'elsewhere' ? RETRY_ELSEWHERE_MS : remainingMs;
         return { kind: 'none', reason: 'backing-off', retryAfterMs };
       }
-      await clock.sleep(closedMs);
+      await clock.sleep(remainingMs);
     }
   }
 }
@@ -109,7 +109,7 @@
 
 class Simulation {
   readonly clock = new VirtualClock();
-  readonly figures: Figures = { inTime: 0, late: 0, refused: 0, turnedAway: 0, broken: 0 };
+  readonly figures: Figures = { inTime: 0, late: 0, refused: 0, backendRefusals: 0, broken: 0 };
   readonly #random: Random;
   readonly #strategy: Strategy;
   readonly #overload: Overload;
@@ -206,7 +206,7 @@
     const isOverloaded =
       backend.refusesUnderLoad && nowMs >= OVERLOAD_FROM_MS && nowMs < OVERLOAD_FROM_MS + OVERLOAD_MS;
     if (!isOverloaded || this.#random.next() >= this.#overload.share) return true;
-    this.figures.turnedAway += 1;
+    this.figures.backendRefusals += 1;
     const toMs = nowMs + this.#overload.backoffMs;
     backend.backoffWindows.push({ node, fromMs: nowMs + IN_FLIGHT_MS, toMs, arrivals: 0 });
     return false;
@@ -241,7 +241,7 @@
 }
 
 async function runAllSeeds(strategy: Strategy, overload: Overload): Promise<Figures> {
-  const sum: Figures = { inTime: 0, late: 0, refused: 0, turnedAway: 0, broken: 0 };
+  const sum: Figures = { inTime: 0, late: 0, refused: 0, backendRefusals: 0, broken: 0 };
   for (const seed of SEEDS) {
     const { clock, figures } = await runSeed(strategy, overload, seed);
     if (clock.now() < SECONDS * 1000) throw new Error('the simulation did not run to its end');
@@ -270,7 +270,7 @@
     const rows = new Map<Strategy, Figures>();
     for (const strategy of STRATEGIES) rows.set(strategy, await runAllSeeds(strategy, overload));
     for (const [strategy, figures] of rows) {
-      const name = `${overload.backends} of ${BACKENDS} shed ${overload.share}, ask ${overload.backoffMs} ms`;
+      const name = `${overload.backends} of ${BACKENDS} refuse ${overload.share}, backoff ${overload.backoffMs} ms`;
       t.log(`${name}: ${strategy} ${JSON.stringify(figures)}`);
       if (strategy !== 'ignore') t.is(figures.broken, 0, strategy);
     }
--- a/packages/gateway/test/backoff.test.ts
+++ b/packages/gateway/test/backoff.test.ts
@@ -43,12 +43,12 @@
 });
 
 test('a backend gets requests again once its backoff has ended', async (t) => {
-  let isShedding = true;
+  let isRefusing = true;
   const harness = await startWithSlowBackend(t, (socket, id) =>
-    socket.write(isShedding ? refusal(id, SHORT_MS) : success(id, 'back')),
+    socket.write(isRefusing ? refusal(id, SHORT_MS) : success(id, 'back')),
   );
   await harness.call('first');
-  isShedding = false;
+  isRefusing = false;
   let body = '';
   for (let waitedMs = 0; body !== 'back' && waitedMs < MAX_WAIT_MS; waitedMs += SLOW_MS) {
     body = (await harness.call('again')).body;
@@ -64,12 +64,12 @@
   let sends = 0;
   // The second request chooses the backend first, and is held up until the first request has been refused.
   let release = (): void => undefined;
-  const turnedAway = new Promise<void>((resolve) => {
+  const firstRefused = new Promise<void>((resolve) => {
     release = resolve;
   });
   harness.beforeSend = () => {
     sends += 1;
-    return sends === 1 ? turnedAway : Promise.resolve();
+    return sends === 1 ? firstRefused : Promise.resolve();
   };
   const second = harness.call('second');
   while (sends === 0) await new Promise((resolve) => setImmediate(resolve));
--- a/packages/gateway/test/departures.test.ts
+++ b/packages/gateway/test/departures.test.ts
@@ -11,7 +11,7 @@
   readonly closed: Promise<void>;
 }
 
-/** A backend that starts its answer as given and then keeps workingBackend until its connection is closed. */
+/** A backend that starts its response as given and then keeps working until its connection is closed. */
 function workingBackend(begin: RawResponder): WatchedBackend {
   let arrive = (): void => undefined;
   let close = (): void => undefined;
--- a/packages/gateway/test/followed-fleet.ts
+++ b/packages/gateway/test/followed-fleet.ts
@@ -31,7 +31,7 @@
   readonly listUpdater: BackendListUpdater;
   /** Whether the store is reachable; if not, the node does not notice until its calls time out. */
   connected = true;
-  /** How long an answer of the store waits until the node has processor time to process it. */
+  /** How long an answer of the store waits until the node has CPU time to process it. */
   processingDelayMs = 0;
   #revision = 0;
 
--- a/packages/gateway/test/former-leader.test.ts
+++ b/packages/gateway/test/former-leader.test.ts
@@ -3,10 +3,10 @@
 
 type Process = ReturnType<LeaderLiveness['processOf']>;
 
-function newLiveness(): LeaderLiveness & { process: Process; isHeard: boolean } {
+function newLiveness(): LeaderLiveness & { process: Process; hasReceived: boolean } {
   const liveness = {
-    isHeard: false,
-    heardRecently: () => liveness.isHeard,
+    hasReceived: false,
+    receivedRecently: () => liveness.hasReceived,
     selfId: 'self',
     process: { token: 'first', state: 'alive' } as Process,
     processOf: () => liveness.process,
@@ -47,8 +47,8 @@
   const former = new FormerLeader(liveness);
   former.recordLeader('other');
   liveness.process = { token: 'first', state: 'dead' };
-  liveness.isHeard = true;
+  liveness.hasReceived = true;
   t.false(former.isGone());
-  liveness.isHeard = false;
+  liveness.hasReceived = false;
   t.true(former.isGone());
 });
--- a/packages/gateway/test/interrupting-request.test.ts
+++ b/packages/gateway/test/interrupting-request.test.ts
@@ -2,7 +2,7 @@
  * Seen in production: one request crashed a dozen engines, one after another. Each engine that began to run
  * it crashed, and some seconds later had restarted as a new process and crashed again.
  *
- * A request whose backend broke off was taken for a victim of a backend fault, so it was sent to another
+ * A request whose backend crashed was taken for a victim of a backend fault, so it was sent to another
  * backend at once. When its caller sent it again, with the same path, caller and body but a new attempt id
  * and to another node, it was not recognized. The tests use backends that crash each time they get that
  * request, and serve all others.
@@ -14,7 +14,7 @@
 
 const CRASHING_BODY = 'ends its backend';
 const BACKENDS = 12;
-/** A request is not sent any more after this many backends ended while they ran it. */
+/** A request is not sent any more after this many backends crashed while they ran it. */
 const QUARANTINE_THRESHOLD = 3;
 /** Far more than nodes need to tell one another, even on a busy machine. */
 const MAX_WAIT_MS = 10_000;
--- a/packages/gateway/test/key-lease.test.ts
+++ b/packages/gateway/test/key-lease.test.ts
@@ -1,6 +1,6 @@
 /**
- * Keys that are withdrawn while nodes are cut off, frozen or slow. No node may run a request that was sent
- * more than the revocation bound after the withdrawal. This holds because a node that passes on a
+ * Keys that are revoked while nodes are cut off, frozen or slow. No node may run a request that was sent
+ * more than the revocation bound after the revocation. This holds because a node that passes on a
  * configuration says how old its own knowledge is, and a node relies on it for 0.6 of the bound: no path,
  * however many peers it leads through, makes the knowledge appear newer.
  */
@@ -60,7 +60,7 @@
     for (const { follower } of this.nodes) follower.start();
   }
 
-  withdraw(): void {
+  revoke(): void {
     this.#published = WITHOUT_KEY;
   }
 
@@ -137,17 +137,17 @@
 }
 
 /**
- * Runs one schedule; returns when the key was last accepted after its withdrawal, and how many nodes without
+ * Runs one schedule; returns when the key was last accepted after its revocation, and how many nodes without
  * a fault refused it before.
  */
 async function run(seed: number): Promise<{ lastRunMs: number; refusedBefore: number }> {
   const random = new Random(seed);
   const fleet = new Fleet();
   await fleet.clock.runUntil(4000);
-  const withdrawnMs = 4000 + Math.floor(random.next() * 3000);
+  const revokedMs = 4000 + Math.floor(random.next() * 3000);
   for (const node of fleet.nodes) {
     const draw = random.next();
-    const atMs = withdrawnMs - 1500 + random.next() * 3000;
+    const atMs = revokedMs - 1500 + random.next() * 3000;
     if (draw < 0.25) fleet.clock.setTimer(atMs - 4000, () => (node.isStoreReachable = false));
     else if (draw < 0.35) fleet.clock.setTimer(atMs - 4000, () => fleet.cutOff(node));
     else if (draw < 0.5) {
@@ -156,22 +156,21 @@
     }
   }
   const refusedBefore = fleet.nodes.filter((node) => !fleet.wouldRun(node)).length;
-  fleet.clock.setTimer(withdrawnMs - 4000, () => fleet.withdraw());
+  fleet.clock.setTimer(revokedMs - 4000, () => fleet.revoke());
   let lastRunMs = 0;
-  for (let nowMs = 4000; nowMs <= withdrawnMs + 9000; nowMs += 50) {
+  for (let nowMs = 4000; nowMs <= revokedMs + 9000; nowMs += 50) {
     await fleet.clock.runUntil(nowMs);
-    if (nowMs > withdrawnMs && fleet.nodes.some((node) => fleet.wouldRun(node)))
-      lastRunMs = nowMs - withdrawnMs;
+    if (nowMs > revokedMs && fleet.nodes.some((node) => fleet.wouldRun(node))) lastRunMs = nowMs - revokedMs;
   }
   return { lastRunMs, refusedBefore };
 }
 
 const SEEDS = Number(process.env['CANVASRIDGE_KEY_LEASE_SEEDS'] ?? 8);
 
-test(`no node accepts a withdrawn key after the lease, in ${SEEDS} schedules of cuts and freezes`, async (t) => {
+test(`no node accepts a revoked key after the lease, in ${SEEDS} schedules of cuts and freezes`, async (t) => {
   for (let seed = 1; seed <= SEEDS; seed += 1) {
     const { lastRunMs, refusedBefore } = await run(seed);
-    t.true(lastRunMs <= leaseMs, `seed ${seed}: accepted ${lastRunMs} ms after the withdrawal`);
+    t.true(lastRunMs <= leaseMs, `seed ${seed}: accepted ${lastRunMs} ms after the revocation`);
     t.is(refusedBefore, 0, `seed ${seed}: nodes without a fault refused the key`);
   }
 });
--- a/packages/gateway/test/large-configuration.test.ts
+++ b/packages/gateway/test/large-configuration.test.ts
@@ -1,5 +1,5 @@
 /**
- * Seen in operation: a configuration of some hundred kilobytes was published in a fleet of 83 nodes. The
+ * Seen in production: a configuration of some hundred kilobytes was published in a fleet of 83 nodes. The
  * readers of the store ran out of memory, most nodes still routed by older versions seconds later, and valid
  * requests ended with 404.
  *
--- a/packages/gateway/test/late-node.test.ts
+++ b/packages/gateway/test/late-node.test.ts
@@ -1,10 +1,11 @@
 /**
- * Seen in operation: right after a configuration with 2,000 more routes, a request reached a backend 4,068 ms
- * after it had announced that it leaves, where 4,000 ms are allowed, and 79 ms after its client had given up.
+ * Seen in production: right after a configuration with 2,000 more routes, a request reached a backend
+ * 4,068 ms after it had announced that it leaves, where 4,000 ms are allowed, and 79 ms after its client had
+ * given up.
  * Strong nodes, which read the store for the others, did not answer their readiness checks for two seconds at
  * that time.
  *
- * A process that gets no processor time finds its timers due and its sockets full when it continues. It then
+ * A process that gets no CPU time finds its timers due and its sockets full when it continues. It then
  * dated the store's answer by the time at which it processed it, and sent a request whose deadline had
  * passed, because the timer that ends the request had not run yet. The tests reproduce this with readers that
  * process answers late, and with an event loop that is blocked between two steps of one request.
@@ -14,7 +15,7 @@
 import { Harness } from './harness.js';
 import { success } from './raw-backend.js';
 
-/** As long as the readiness checks failed in operation. */
+/** As long as the readiness checks failed in production. */
 const LATE_MS = 2000;
 
 /** Blocks the event loop. */
--- a/packages/gateway/test/leaving-backends.test.ts
+++ b/packages/gateway/test/leaving-backends.test.ts
@@ -1,8 +1,8 @@
 /**
  * Departures of backends as seen by follower nodes of a large fleet, which get the backend list from reader
  * nodes. Guards against requests that a follower sends to a backend after the drain bound because the
- * departure reached it late or was undone: readers that lost the store apply a removal late, withhold it
- * while the entry may merely have expired, or have not noticed the loss at all.
+ * departure reached it late or was undone: readers that lost the store apply a removal late, after newer
+ * changes, withhold it while the entry may merely have expired, or have not noticed the loss at all.
  */
 import test from 'ava';
 import { Harness } from './harness.js';
--- a/packages/gateway/test/limited-fleet.ts
+++ b/packages/gateway/test/limited-fleet.ts
@@ -1,4 +1,4 @@
-/** Nodes that send to one backend that states a rate limit, in virtual time. */
+/** Nodes that send to one backend that announces a rate limit, in virtual time. */
 import { QuotaShares } from '@canvasridge/admission';
 import { Random, VirtualClock, hashSeed } from '@canvasridge/clock';
 import { Telemetry } from '@canvasridge/telemetry';
@@ -46,7 +46,7 @@
   }
 
   /** Tells all nodes of the limit. */
-  name(perSecond: number): void {
+  announceLimit(perSecond: number): void {
     for (const { limits } of this.nodes.values()) limits.recordNotice(BACKEND, perSecond, false);
   }
 
--- a/packages/gateway/test/rate-limit-homes.test.ts
+++ b/packages/gateway/test/rate-limit-homes.test.ts
@@ -1,5 +1,6 @@
 /**
- * The rate limit that a backend states, lent out by one node to all that have received it, in virtual time.
+ * The rate limit that a backend announces, lent out by one node to all that have received it, in virtual
+ * time.
  */
 import { VirtualClock } from '@canvasridge/clock';
 import test from 'ava';
@@ -18,7 +19,7 @@
   test(`${count} nodes together stay within a limit of ${perSecond} a second, and use it`, async (t) => {
     for (const seed of SEEDS) {
       const fleet = new LimitedFleet(count, seed);
-      fleet.name(perSecond);
+      fleet.announceLimit(perSecond);
       const seconds = 50;
       await fleet.send(perSecond * 4, seconds);
       t.true(fleet.fullestWindow <= allowed(perSecond), `seed ${seed}: ${fleet.fullestWindow} in 4 s`);
@@ -33,7 +34,7 @@
   for (const seed of SEEDS) {
     const fleet = new LimitedFleet(9, seed);
     const { nodes } = fleet;
-    fleet.name(3);
+    fleet.announceLimit(3);
     await fleet.send(12, 10);
     fleet.silent.add('n0');
     await fleet.send(12, 1);
@@ -49,7 +50,7 @@
 
 test('a node without an answer from the home sends nothing to the backend, and all send again once the home answers', async (t) => {
   const fleet = new LimitedFleet(9, 1);
-  fleet.name(3);
+  fleet.announceLimit(3);
   fleet.silent.add('n0');
   await fleet.send(12, 20);
   const others = fleet.sentMs.length;
@@ -66,7 +67,7 @@
   limits.recordNotice(BACKEND, 1.4, false);
   limits.recordNotice(BACKEND, 'none', false);
   limits.recordNotice(BACKEND, undefined, true);
-  t.is(limits.perSecond(BACKEND), 1.4, 'a request sent before the limit was stated may end after it');
+  t.is(limits.perSecond(BACKEND), 1.4, 'a request sent before the limit was announced may end after it');
   limits.recordNotice(BACKEND, 'none', true);
   t.is(limits.perSecond(BACKEND), undefined);
   limits.recordNotice(BACKEND, 1.4, false);
@@ -76,7 +77,7 @@
 
 test('a backend with a limit of zero still receives a request now and then, to find out whether the limit has ended', async (t) => {
   const fleet = new LimitedFleet(9, 1);
-  fleet.name(0);
+  fleet.announceLimit(0);
   await fleet.send(10, 40);
   t.true(fleet.sentMs.length >= 2 && fleet.fullestWindow <= allowed(0), `${fleet.sentMs.length} sent`);
 });
--- a/packages/gateway/test/rate-limit-reporter.test.ts
+++ b/packages/gateway/test/rate-limit-reporter.test.ts
@@ -24,29 +24,29 @@
 
 test('a leader receives a limit once, and its end once', (t) => {
   const { reporter, reports } = start();
-  reporter.onLimitStated('i1', undefined);
-  reporter.onLimitStated('i1', 1.4);
-  reporter.onLimitStated('i1', 1.4);
+  reporter.onLimitAnnounced('i1', undefined);
+  reporter.onLimitAnnounced('i1', 1.4);
+  reporter.onLimitAnnounced('i1', 1.4);
   reporter.onGranted({ ...GRANT, ratePerSecond: 1.4 });
-  reporter.onLimitStated('i1', 1.4);
-  reporter.onLimitStated('i1', undefined);
-  reporter.onLimitStated('i1', undefined);
+  reporter.onLimitAnnounced('i1', 1.4);
+  reporter.onLimitAnnounced('i1', undefined);
+  reporter.onLimitAnnounced('i1', undefined);
   t.deepEqual(reports, [1.4, null]);
 });
 
 test('a limit that the leader learnt from another node is not reported', (t) => {
   const { reporter, reports } = start();
   reporter.onGranted({ ...GRANT, ratePerSecond: 2 });
-  reporter.onLimitStated('i1', 2);
+  reporter.onLimitAnnounced('i1', 2);
   t.deepEqual(reports, []);
 });
 
 test('a leader that is new, or grants without the limit, receives it again', (t) => {
   const started = start();
   const { reporter, reports } = started;
-  reporter.onLimitStated('i1', 1.4);
+  reporter.onLimitAnnounced('i1', 1.4);
   reporter.leaderChanged();
-  reporter.onLimitStated('i1', 1.4);
+  reporter.onLimitAnnounced('i1', 1.4);
   started.own = 1.4;
   reporter.onGranted(GRANT);
   t.deepEqual(reports, [1.4, 1.4, 1.4]);
--- a/packages/gateway/test/rate-limit-ways.test.ts
+++ b/packages/gateway/test/rate-limit-ways.test.ts
@@ -1,5 +1,5 @@
 /**
- * Compares ways in which nodes can apply a limit that a backend of a plain service states for all of them
+ * Compares ways in which nodes can apply a limit that a backend of a plain service announces for all of them
  * together: each node the whole limit, each node an equal share without asking any other, or, as implemented,
  * by units that one node lends to those that need them. All run on the same seeds: 9 and 83 nodes, with four
  * times as many requests as the limit allows, for a minute.
@@ -21,7 +21,7 @@
   const result: Result = { fullestWindow: 0, used: 0 };
   for (const seed of SEEDS) {
     const fleet = new LimitedFleet(nodes, seed, mode);
-    fleet.name(perSecond);
+    fleet.announceLimit(perSecond);
     await fleet.send(perSecond * 4, SECONDS);
     result.fullestWindow = Math.max(result.fullestWindow, fleet.fullestWindow / allowed(perSecond));
     result.used += fleet.sentMs.length / (perSecond * SECONDS) / SEEDS.length;
--- a/packages/gateway/test/running-node.ts
+++ b/packages/gateway/test/running-node.ts
@@ -54,8 +54,8 @@
   const fleet = new FleetState();
   fleet.applyConfiguration(configuration({ timeoutMs: 60_000, ...route }, tenants?.all));
   fleet.applyBackend(1, backend.description('i1', SERVICE));
-  const place = { nodeId: 'n1', peerPort: await freePort(), seeds: [], graceMs };
-  const started = await startGateway(fleet, place, clock, tenants?.lease);
+  const nodeSettings = { nodeId: 'n1', peerPort: await freePort(), seeds: [], graceMs };
+  const started = await startGateway(fleet, nodeSettings, clock, tenants?.lease);
   return { ...started, attempts };
 }
 
--- a/packages/gateway/test/seeds-restarted.test.ts
+++ b/packages/gateway/test/seeds-restarted.test.ts
@@ -23,8 +23,8 @@
 
 test('restarted nodes learn of a node that kept running although all their seeds were restarted as well', async (t) => {
   const nodes = [...SEEDS, 'n3'].map((id) => node(id, `first-${id}`));
-  const wire = { oneWayMs: 1.4, lossShare: 0, seed: 612 };
-  const fleet = new VirtualClusters(nodes, SEEDS, wire);
+  const link = { oneWayMs: 1.4, lossShare: 0, seed: 612 };
+  const fleet = new VirtualClusters(nodes, SEEDS, link);
   const { clock, clusters } = fleet;
   await clock.runUntil(SETTLED_MS);
   for (const id of SEEDS) clusters.get(id)?.stop();
--- a/packages/gateway/test/suspended-machine.test.ts
+++ b/packages/gateway/test/suspended-machine.test.ts
@@ -4,7 +4,7 @@
  *
  * Every age by which a node decides how far it can rely on its knowledge was a difference of the monotonic
  * clock. After eight seconds of suspension a list, a configuration or a lease seemed as old as before, so
- * that the node accepted keys that had been withdrawn, and gave orders beside the holder that had replaced
+ * that the node accepted keys that had been revoked, and gave orders beside the holder that had replaced
  * it, before anything told it that time had passed. The tests reproduce this with a node on real sockets
  * whose system time advances without its monotonic clock, and with leaders in virtual time.
  */
--- a/packages/gateway/test/two-holders.test.ts
+++ b/packages/gateway/test/two-holders.test.ts
@@ -1,6 +1,6 @@
 /**
- * Seen in operation: orders of one node reached an engine after those of another node, with a lower fencing
- * token, 15 s after the second one had become the leader.
+ * Seen in production: orders of one node reached an engine after those of another node, with a lower fence
+ * (fencing token), 15 s after the second one had become the leader.
  *
  * The first node was cut off from the others, but not from the engines. The others elected the next leader,
  * which became holder of the engines that had received no orders for a lease. The first node still considered
--- a/packages/gateway/test/virtual-clusters.ts
+++ b/packages/gateway/test/virtual-clusters.ts
@@ -6,7 +6,7 @@
 /** A node of {@link VirtualClusters}. */
 export interface VirtualNode {
   readonly id: string;
-  /** Processor time in cores of the usual speed. */
+  /** CPU time in cores of the usual speed. */
   readonly capacity: number;
   readonly processToken: string;
 }
--- a/packages/gateway/test/virtual-holders.ts
+++ b/packages/gateway/test/virtual-holders.ts
@@ -169,7 +169,7 @@
       random: this.#random,
       fleet,
       cluster,
-      network: { to: () => NO_CONNECTION, drop: () => undefined, heardWithin: () => false },
+      network: { to: () => NO_CONNECTION, drop: () => undefined, receivedWithin: () => false },
       control,
       availability: { isBackingOff: () => false },
       rateLimits: noRateLimits(clock),
