--- a/packages/admission/src/quarantine/interruption-history.ts
+++ b/packages/admission/src/quarantine/interruption-history.ts
@@ -7,8 +7,8 @@
  */
 export const INTERRUPTION_WINDOW_MS = 600_000;
 /**
- * Maximum number of tracked requests. The end of an engine interrupts up to 96 requests (one for each of its
- * slots), so this covers the ends of some 40 engines within the window. An entry takes some 200 bytes, all
+ * Maximum number of tracked requests. A crash of an engine interrupts up to 96 requests (one for each of its
+ * slots), so this covers the crashes of some 40 engines within the window. An entry takes some 200 bytes, all
  * together under 1 MB.
  */
 const MAX_TRACKED_REQUESTS = 4096;
--- a/packages/admission/src/quarantine/quarantine-list.ts
+++ b/packages/admission/src/quarantine/quarantine-list.ts
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Returns whether the request was added: it was not listed, its quarantine is not over, and the list has
-   * room for it.
+   * Returns whether the request was added: it was not listed, its quarantine is not over, and, if the list is
+   * full, it does not end before all listed ones. The entry that ends first is dropped from a full list.
    */
   add({ fingerprint, ageMs }: QuarantinedRequest): boolean {
     this.#removeExpired();
--- a/packages/admission/src/retry-budget.ts
+++ b/packages/admission/src/retry-budget.ts
@@ -8,7 +8,8 @@
   #tokens: number;
 
   /**
-   * @param ratio retries allowed for each first attempt; @param limit maximum of retries that can be saved up
+   * @param ratio retries allowed for each first attempt
+   * @param limit maximum number of retries that can be saved up
    */
   constructor(ratio = 0.2, limit = 50) {
     this.#ratio = ratio;
--- a/packages/cli/src/commands/confirm.ts
+++ b/packages/cli/src/commands/confirm.ts
@@ -24,7 +24,7 @@
     'plan-digest': { type: 'string', help: 'digest that "canvasridge plan" printed', placeholder: 'DIGEST' },
     'service-version': {
       type: 'string',
-      help: 'version of canvasridge/head in the configuration service now; by default that of the revision in force',
+      help: 'current version of canvasridge/head in the configuration service; default: the version of the revision in force',
       placeholder: 'N',
     },
     output: {
--- a/packages/cli/src/commands/shared.ts
+++ b/packages/cli/src/commands/shared.ts
@@ -11,8 +11,16 @@
 
 /** Options of every command that contacts nodes. */
 export const NODE_OPTIONS = {
-  node: { type: 'string', help: "peers' URL of any node; CANVASRIDGE_NODE otherwise", placeholder: 'URL' },
-  'admin-key': { type: 'string', help: 'admin key; CANVASRIDGE_ADMIN_KEY otherwise', placeholder: 'KEY' },
+  node: {
+    type: 'string',
+    help: 'URL of any node for peers; default: the environment variable CANVASRIDGE_NODE',
+    placeholder: 'URL',
+  },
+  'admin-key': {
+    type: 'string',
+    help: 'admin key; default: the environment variable CANVASRIDGE_ADMIN_KEY',
+    placeholder: 'KEY',
+  },
 } as const satisfies Record<string, OptionDefinition>;
 
 /** Client for the node and key given in the options or environment variables. */
--- a/packages/cli/src/commands/timeline.ts
+++ b/packages/cli/src/commands/timeline.ts
@@ -4,17 +4,21 @@
 import { formatAdminError } from '../admin-client.js';
 import { toChromeTrace } from '../chrome-trace.js';
 import { fetchFleetStatus } from '../fleet-status.js';
-import { renderTimeline } from '../timeline-picture.js';
+import { renderTimeline } from '../timeline-page.js';
 import { NODE_OPTIONS, adminClient, printError, reportAdminError, printLine } from './shared.js';
 
 export const timelineCommand: CommandDefinition = {
   name: 'timeline',
-  summary: 'Merges the events of all nodes into one picture (HTML) or a Chrome trace (JSON).',
+  summary: 'Merges the events of all nodes into one HTML page or a Chrome trace (JSON).',
   options: {
     ...NODE_OPTIONS,
-    html: { type: 'string', help: 'write the picture to this file', placeholder: 'FILE' },
+    html: { type: 'string', help: 'write the HTML page to this file', placeholder: 'FILE' },
     trace: { type: 'string', help: 'write a trace for chrome://tracing to this file', placeholder: 'FILE' },
-    request: { type: 'string', help: 'only events of requests whose id begins so', placeholder: 'ID' },
+    request: {
+      type: 'string',
+      help: 'only events of requests whose id starts with this text',
+      placeholder: 'ID',
+    },
   },
   run: async (input) => {
     const html = input.text('html');
--- a/packages/cli/src/commands/validate.ts
+++ b/packages/cli/src/commands/validate.ts
@@ -5,7 +5,7 @@
 export const validateCommand: CommandDefinition = {
   name: 'validate',
   summary:
-    'Checks a configuration document: schema, references, intents that cannot be met. Contacts no node.',
+    'Checks a configuration document: schema, references, requirements that no engine can fulfil. Contacts no node.',
   positionals: 'FILE',
   maximumPositionals: 1,
   options: {},
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,2 +1,2 @@
 /** Parts of the operator command line that other packages use. */
-export { renderTimeline } from './timeline-picture.js';
+export { renderTimeline } from './timeline-page.js';
--- a/packages/clock/src/clock.ts
+++ b/packages/clock/src/clock.ts
@@ -16,8 +16,8 @@
    */
   wallTime(): number;
   /**
-   * Time since the machine booted in milliseconds, including suspensions, with a resolution of 10; undefined
-   * if there is no such clock. A read takes some 10 microseconds.
+   * Time since the machine booted, including suspensions, in milliseconds with a resolution of 10 ms. The
+   * method is absent if there is no such clock. A read takes some 10 microseconds.
    */
   uptimeMs?(): number;
   /** Calls `callback` once after `delayMs` milliseconds. */
--- a/packages/configuration/src/revision-store.ts
+++ b/packages/configuration/src/revision-store.ts
@@ -47,7 +47,7 @@
  */
 export class RevisionStore {
   #inForce: InForce | undefined;
-  #held: { readonly revision: number; readonly reason: string } | undefined;
+  #refused: { readonly revision: number; readonly reason: string } | undefined;
 
   get head(): RevisionHead | undefined {
     return this.#inForce?.head;
@@ -74,7 +74,7 @@
 
   /** The published revision that this node refuses, if any. Shown to operators in the status. */
   get held(): { readonly revision: number; readonly reason: string } | undefined {
-    return this.#held;
+    return this.#refused;
   }
 
   chunk(sha256: string): string | undefined {
@@ -119,7 +119,7 @@
     const [first] = problems;
     if (first !== undefined) {
       const detail = `${first.path}: ${first.problem}`;
-      this.#held = { revision: head.revision, reason: detail };
+      this.#refused = { revision: head.revision, reason: detail };
       return err({ kind: 'intent-unmet', detail });
     }
     return ok(this.#putInForce(head, sourceVersion, chunks, joined.value));
@@ -134,12 +134,12 @@
     const ownChunks = new Map(head.chunks.map((sha256) => [sha256, chunks.get(sha256) ?? '']));
     const index = new ConfigurationIndex(head.revision, configuration);
     this.#inForce = { head, sourceVersion, chunks: ownChunks, index };
-    this.#held = undefined;
+    this.#refused = undefined;
     return index;
   }
 
   #refuse(head: RevisionHead, reason: string): Result<void, AcceptRefusal> {
-    this.#held = { revision: head.revision, reason };
+    this.#refused = { revision: head.revision, reason };
     return err({ kind: 'plan-mismatch', detail: reason });
   }
 }
--- a/packages/domain/src/configuration.ts
+++ b/packages/domain/src/configuration.ts
@@ -78,7 +78,10 @@
 });
 
 const tuning = z.strictObject({
-  /** Trade-off in choosing engines: 0 prefers full batches, 1 prefers short waits for adapter loads. */
+  /**
+   * Trade-off in choosing engines: 0 concentrates requests in full batches, 1 spreads them over emptier
+   * engines, so that they stall less. Waits for adapter loads count fully in either case.
+   */
   stallWeight: z.number().min(0).max(1).default(0.5),
   weightStoreLoadsPerSecond: z.number().positive().default(2),
   weightStoreConcurrency: z.int().min(1).default(2),
--- a/packages/domain/src/index.ts
+++ b/packages/domain/src/index.ts
@@ -5,7 +5,7 @@
 export {
   parseModelName,
   formatModelName,
-  adapterKey,
+  adapterVersionKey,
   type AdapterRef,
   type ModelNameError,
 } from './model-name.js';
--- a/packages/domain/src/model-name.ts
+++ b/packages/domain/src/model-name.ts
@@ -33,6 +33,6 @@
 }
 
 /** Key of an adapter version, unique among the adapters of one base model: `ADAPTER@VERSION`. */
-export function adapterKey(ref: Pick<AdapterRef, 'adapter' | 'version'>): string {
+export function adapterVersionKey(ref: Pick<AdapterRef, 'adapter' | 'version'>): string {
   return `${ref.adapter}@${ref.version}`;
 }
--- a/packages/domain/src/problem.ts
+++ b/packages/domain/src/problem.ts
@@ -46,7 +46,7 @@
 export type ProblemCode = keyof typeof PROBLEMS;
 
 export interface ProblemExtra {
-  /** The value found and the values allowed, as text for people. */
+  /** The value found and the values allowed, as human-readable text. */
   readonly detail?: string;
   /** Time after which the client may retry, in seconds. */
   readonly retryAfterSeconds?: number;
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -431,8 +431,8 @@
   }
 
   /**
-   * Handles a sender that is not present in the member table. A sender believed gone is sent that belief, so
-   * that it refutes it. An unknown sender is sent this node's identity and asked for its own: if all seeds
+   * Handles a sender that is not present in the member table. A sender that this node believes dead or
+   * left is sent that state, so that it can refute it. An unknown sender is sent this node's identity and asked for its own: if all seeds
    * have restarted, no other node announces a member that kept running, and a state comparison covers only
    * the members that the other side lists. Without this, two nodes led the same engines for a minute.
    */
--- a/packages/node/src/control/engine-fleet.ts
+++ b/packages/node/src/control/engine-fleet.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@canvasridge/clock';
 import type { ConfigurationIndex, EngineClient, EngineDefinition } from '@canvasridge/domain';
-import { adapterKey, type AdapterRef } from '@canvasridge/domain';
+import { adapterVersionKey, type AdapterRef } from '@canvasridge/domain';
 import type { Member } from '@canvasridge/membership';
 import type {
   EngineOwnership,
@@ -48,7 +48,7 @@
 const SMOOTHING_FACTOR = 0.1;
 /** How many engines without the adapter are considered for a request, beside those that have or load it. */
 const MAX_CANDIDATES_WITHOUT_ADAPTER = 4;
-/** Published request counts are rounded to this fraction of the batch size. */
+/** Published request counts are rounded to multiples of the batch size divided by this number. */
 const PUBLISHED_LOAD_STEPS = 4;
 
 /** All engines as known to this node: schedulers for those it owns, and published records of the others. */
@@ -150,6 +150,7 @@
     const stallWeight = this.#index?.tuning.stallWeight ?? 0;
     const times = {
       loadSeconds: this.#loadSeconds,
+      // The measured load times already include the wait for a grant.
       loadQueueSeconds: 0,
       serviceSeconds: this.#serviceSeconds,
     };
@@ -176,7 +177,7 @@
   }
 
   #routeCandidates(model: AdapterRef, excluded: ReadonlySet<string>): RouteCandidate[] {
-    const key = adapterKey(model);
+    const key = adapterVersionKey(model);
     const ranked = this.#adapterCandidates?.of(model.base, model.adapter) ?? [];
     const candidates: RouteCandidate[] = [];
     let absent = 0;
@@ -296,7 +297,7 @@
   const pins = new Map<string, string[]>();
   for (const { base, name, versions, pinnedReplicas = 0 } of index.configuration.adapters) {
     if (pinnedReplicas === 0) continue;
-    const key = adapterKey({ adapter: name, version: versions.at(-1) ?? '' });
+    const key = adapterVersionKey({ adapter: name, version: versions.at(-1) ?? '' });
     for (const engine of candidates.of(base, name).slice(0, pinnedReplicas)) {
       pins.set(engine.id, [...(pins.get(engine.id) ?? []), key]);
     }
--- a/packages/node/src/control/remote-engines.ts
+++ b/packages/node/src/control/remote-engines.ts
@@ -73,7 +73,7 @@
   }
 
   /** Removes the records of all engines that a node owns. */
-  forgetOwner(nodeId: string): void {
+  removeRecordsOf(nodeId: string): void {
     for (const [engineId, engine] of this.#engines)
       if (engine.owner === nodeId) this.#engines.delete(engineId);
   }
@@ -82,7 +82,7 @@
    * Removes an engine's record if it still names `owner`, because that node is unreachable or answered that
    * it does not own the engine.
    */
-  removeOwner(engineId: string, owner: string): void {
+  removeIfOwnedBy(engineId: string, owner: string): void {
     if (this.#engines.get(engineId)?.owner === owner) this.#engines.delete(engineId);
   }
 
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -256,7 +256,8 @@
   }
 
   #memberChanged(member: Member): void {
-    if (member.state === 'dead' || member.state === 'left') this.fleet.remoteEngines.forgetOwner(member.id);
+    if (member.state === 'dead' || member.state === 'left')
+      this.fleet.remoteEngines.removeRecordsOf(member.id);
     else for (const record of this.membership.recordsOf(member.id)) this.fleet.remoteEngines.update(record);
     this.ownership.reconcileSoon();
     this.#options.telemetry.metrics.gauge('membership.alive', this.membership.present().length);
--- a/packages/node/src/requests/generation-router.ts
+++ b/packages/node/src/requests/generation-router.ts
@@ -209,7 +209,7 @@
     fleet.remoteEngines.requestEnded(engine.id);
     if (result.isOk()) return { kind: 'done' };
     if (result.error.kind === 'unreachable' || isNotOwner(result.error))
-      fleet.remoteEngines.removeOwner(engine.id, owner.id);
+      fleet.remoteEngines.removeIfOwnedBy(engine.id, owner.id);
     return forwardOutcome(result.error);
   }
 
--- a/packages/node/src/requests/key-protocol.ts
+++ b/packages/node/src/requests/key-protocol.ts
@@ -53,7 +53,7 @@
 const UNKNOWN: OutcomeDecision = { kind: 'outcome', outcome: { kind: 'unknown' } };
 
 /**
- * Ensures that a request with an idempotency key runs at most once in the cluster. Each key has a home, a
+ * Ensures that a request with an idempotency key runs at most once over all nodes. Each key has a home, a
  * node process named by the caller, which remembers the key. Another process may run the request only after
  * the home has transferred the key to it. If the home process no longer exists, whether the request has run
  * cannot be determined, so it is not run.
@@ -182,7 +182,7 @@
   return `${member.id}~${member.processToken}`;
 }
 
-/** Under which a process stores a key that was transferred to it from another home. */
+/** Key under which a process stores an idempotency key that was transferred to it from another home. */
 function delegatedKey(home: string, key: string): string {
   return `${home}|${key}`;
 }
--- a/packages/node/src/requests/request-service.ts
+++ b/packages/node/src/requests/request-service.ts
@@ -49,7 +49,7 @@
   readonly index: ConfigurationIndex;
   readonly caller: CallerDefinition;
   readonly options: RequestOptions;
-  /** Returns the place in the caller's concurrency limit. */
+  /** Releases the caller's concurrency permit. */
   release(): void;
 }
 
--- a/packages/node/src/scheduling/engine-scheduler.ts
+++ b/packages/node/src/scheduling/engine-scheduler.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@canvasridge/clock';
 import {
-  adapterKey,
+  adapterVersionKey,
   type EngineDefinition,
   type EngineError,
   type GenerationEnd,
@@ -115,7 +115,7 @@
   ): Promise<Result<GenerationEnd, SchedulerError>> {
     if (!this.#acceptsWork) return err({ kind: 'not-owner', executed: 'no' });
     if (this.#queue.length >= this.#options.queueLimit()) return err({ kind: 'queue-full', executed: 'no' });
-    const key = adapterKey(work.request.model);
+    const key = adapterVersionKey(work.request.model);
     this.#demand.add(key);
     const reserved = this.#reserveSlot(key);
     if (reserved !== undefined) return this.#dispatch(work, reserved, 0, sink, signal);
--- a/packages/node/src/scheduling/engine-work.ts
+++ b/packages/node/src/scheduling/engine-work.ts
@@ -45,6 +45,9 @@
   readonly orderTimeoutMs: number;
   /** Called when the loaded adapters, or the number of running or queued requests, may have changed. */
   readonly onChange: () => void;
-  /** Called with the duration of each successful adapter load. */
+  /**
+   * Called with the duration of each successful adapter load, which includes the waits for a grant and a slot,
+   * and retries.
+   */
   readonly onLoadTime: (milliseconds: number) => void;
 }
--- a/packages/ownership/src/ownership-manager.ts
+++ b/packages/ownership/src/ownership-manager.ts
@@ -13,7 +13,9 @@
 export interface OwnershipEvents {
   onHeld(ownership: EngineOwnership, state: TakeoverState): void;
   onLost(ownership: EngineOwnership, reason: string): void;
-  /** Whether work of this node on the engine has an unknown outcome since the last claim. */
+  /**
+   * Whether any work of this node on the engine has ended with an unknown outcome since the last claim.
+   */
   wantsNewFence(engineId: string): boolean;
 }
 
--- a/packages/placement/src/route-cost.ts
+++ b/packages/placement/src/route-cost.ts
@@ -23,7 +23,10 @@
 
 /** Durations on which estimates are based, measured by the node while it runs. */
 export interface RouteTimings {
-  /** Duration of one adapter load, from the order until the adapter is ready, in seconds. */
+  /**
+   * Duration of one adapter load in seconds, from the decision to load until the adapter is ready, including
+   * the waits for a grant and a slot, and retries.
+   */
   readonly loadSeconds: number;
   /** Number of loads waiting for the weight store times the interval between two loads, in seconds. */
   readonly loadQueueSeconds: number;
--- a/packages/serving/src/backend-list-updater.ts
+++ b/packages/serving/src/backend-list-updater.ts
@@ -5,7 +5,7 @@
 
 /**
  * While the publishing store is unavailable, the entries of running backends expire too. By the platform's
- * specification they are written again within this time after the store's return; a backend whose entry is
+ * protocol they are written again within this time after the store's return; a backend whose entry is
  * missing then is gone.
  */
 export const STORE_RETURN_WINDOW_MS = 2000;
--- a/packages/serving/src/fleet-state.ts
+++ b/packages/serving/src/fleet-state.ts
@@ -77,7 +77,10 @@
     this.#listeners.push(listener);
   }
 
-  /** Calls `listener` when a backend is found to be draining, and when its entry is removed from the list. */
+  /**
+   * Calls `listener` once when a backend is first found to be draining, and once when its entry is removed
+   * from the list.
+   */
   onDeparture(listener: DepartureListener): void {
     this.#departureListeners.push(listener);
   }
--- a/packages/serving/test/backend-list-updater.test.ts
+++ b/packages/serving/test/backend-list-updater.test.ts
@@ -4,7 +4,7 @@
 
 /**
  * Time after the store's return by which expired entries are written again, and the heartbeat interval, by
- * the platform's specification.
+ * the platform's protocol.
  */
 const RETURN_MS = 2000;
 const HEARTBEAT_MS = 1200;
--- a/packages/standin/src/engine/engine-emulator.ts
+++ b/packages/standin/src/engine/engine-emulator.ts
@@ -1,6 +1,6 @@
 import { Notifier, Random, type Clock } from '@canvasridge/clock';
 import type { AdapterRef, EngineOrder, EngineOrderReply, EngineReport } from '@canvasridge/domain';
-import { adapterKey, formatModelName } from '@canvasridge/domain';
+import { adapterVersionKey, formatModelName } from '@canvasridge/domain';
 import type { WeightStoreEmulator } from '../platform/weight-store-emulator.js';
 import { EngineRecord } from './engine-record.js';
 import type { EngineBehaviour, EngineIdentity } from './engine-settings.js';
@@ -26,13 +26,15 @@
   | { readonly kind: 'full' }
   | { readonly kind: 'draining' };
 
-/** Beyond this number of generations, ended ones are forgotten, oldest first, and can no longer be resumed. */
+/**
+ * Beyond this number of generations, ended ones are forgotten, oldest first, and can no longer be resumed.
+ */
 const MAX_KEPT_SEQUENCES = 512;
 
 /**
- * Emulates a model engine with continuous batching: each step processes prompt tokens up to a limit and produces
- * one token for each running generation whose prompt is done. Holds adapters in slots, checks fencing tokens if
- * `checksFence` is set, and reports its state with a lag.
+ * Emulates a model engine with continuous batching: each step processes prompt tokens up to a limit and
+ * produces one token for each running generation whose prompt is done. Holds adapters in slots, checks
+ * fencing tokens if `checksFence` is set, and reports its state with a lag.
  */
 export class EngineEmulator {
   readonly identity: EngineIdentity;
@@ -94,7 +96,7 @@
       this.record.staleRefusals += 1;
       return { kind: 'stale-fence', currentFence: this.#fence };
     }
-    const key = adapterKey(request.model);
+    const key = adapterVersionKey(request.model);
     if (request.model.base !== this.identity.base || !this.#slots.isLoaded(key)) {
       return { kind: 'adapter-not-loaded' };
     }
@@ -130,9 +132,9 @@
         this.#renewLease(order.holder, order.leaseMs);
         return this.#reply('done');
       case 'load':
-        return this.#load(adapterKey(order));
+        return this.#load(adapterVersionKey(order));
       case 'unload':
-        return this.#unload(adapterKey(order));
+        return this.#unload(adapterVersionKey(order));
       case 'role':
         this.#role = order.role;
         return this.#reply('done');
@@ -280,7 +282,8 @@
       if (this.#isAbandoned(sequence, nowMs)) sequence.state = 'cancelled';
       else if (sequence.remainingPrefillTokens === 0) sequence.produceToken();
     }
-    // A restart of the engine during the loop replaced lists, slots and cache: nothing of this batch is left to update.
+    // A restart of the engine during the loop replaced lists, slots and cache: nothing of this batch is left
+    // to update.
     if (batch !== this.#running) return;
     this.#running = batch.filter((sequence) => sequence.state === 'running');
     for (const sequence of batch) {
--- a/packages/standin/src/engine/engine-http.ts
+++ b/packages/standin/src/engine/engine-http.ts
@@ -41,7 +41,10 @@
   draining: 503,
 };
 
-/** HTTP interface of an emulated engine: OpenAI-compatible completions and chat, fenced orders, status reports. */
+/**
+ * HTTP interface of an emulated engine: OpenAI-compatible completions and chat, fenced orders, status
+ * reports.
+ */
 export function engineListener(
   engine: EngineEmulator,
 ): (request: IncomingMessage, response: ServerResponse) => void {
@@ -98,7 +101,8 @@
   chat: boolean,
 ): Response {
   const { headers } = env.incoming;
-  // The body may name a model without a version; the header then has the version that the node resolved it to.
+  // The body may name a model without a version; the header then has the version that the node resolved it
+  // to.
   const model = parseModelName(String(headers[Header.model] ?? body.model));
   if (model.isErr())
     return Response.json({ reason: `model: expected ${model.error.expected}` }, { status: 400 });
--- a/packages/standin/src/engine/prefix-cache.ts
+++ b/packages/standin/src/engine/prefix-cache.ts
@@ -48,7 +48,9 @@
     return this.#blocks === undefined ? [] : [...this.#blocks.keys()];
   }
 
-  /** Events after `sequence` that happened up to `latestMs`. Lost events show as gaps in the sequence numbers. */
+  /**
+   * Events after `sequence` that happened up to `latestMs`. Lost events show as gaps in the sequence numbers.
+   */
   eventsAfter(sequence: number, latestMs: number): readonly CacheEvent[] {
     return this.#events.filter((event) => event.sequence > sequence && event.atMs <= latestMs);
   }
--- a/packages/standin/src/index.ts
+++ b/packages/standin/src/index.ts
@@ -1,4 +1,7 @@
-/** Emulator of the platform. Runs as a process of its own, or inside simulations in virtual time. */
+/**
+ * Stand-in for the platform: emulators of its engines, services and stores. Runs as a process of its own, or
+ * inside simulations in virtual time.
+ */
 export { Standin, type StandinRecords } from './standin.js';
 export { startStandinProcess, type StandinProcess } from './process.js';
 export { standinSettingsSchema, type StandinSettings } from './settings.js';
--- a/packages/standin/src/platform/configuration-service-emulator.ts
+++ b/packages/standin/src/platform/configuration-service-emulator.ts
@@ -9,8 +9,8 @@
 const MILLISECONDS_PER_SECOND = 1000;
 
 /**
- * Emulates the configuration service: readers can get and watch values, each key has a version, and reads per second
- * are limited.
+ * Emulates the configuration service: readers can get and watch values, each key has a version, and reads per
+ * second are limited.
  */
 export class ConfigurationServiceEmulator {
   readonly #clock: Clock;
@@ -83,7 +83,9 @@
     return found === undefined ? err({ kind: 'missing', key }) : ok(found);
   }
 
-  /** Counts a read; returns whether it is within the limit, on which pending watches count as reads too. */
+  /**
+   * Counts a read; returns whether it is within the limit, against which pending watches count as reads too.
+   */
   #admitRead(): boolean {
     this.reads += 1;
     const nowMs = this.#clock.now();
--- a/packages/standin/src/platform/weight-store-emulator.ts
+++ b/packages/standin/src/platform/weight-store-emulator.ts
@@ -13,7 +13,10 @@
 /** A load takes longer by (concurrent loads / concurrency limit) to this power, once over the limit. */
 const OVERLOAD_EXPONENT = 1.5;
 
-/** Emulates the weight store: loads beyond the rate limit wait, and those beyond the concurrency limit slow down. */
+/**
+ * Emulates the weight store: loads beyond the rate limit wait, and those beyond the concurrency limit slow
+ * down.
+ */
 export class WeightStoreEmulator {
   readonly behaviour: WeightStoreBehaviour;
   readonly #clock: Clock;
