--- a/packages/http-bindings/src/event-stream-tracker.ts
+++ b/packages/http-bindings/src/event-stream-tracker.ts
@@ -6,8 +6,8 @@
 
 /**
  * Tracks a stream of server-sent events chunk by chunk without parsing the events. Passes on complete events
- * only and records the id of the last one, so that a broken stream can be resumed without repeating any bytes.
- * Format: WHATWG HTML standard, section "Server-sent events", with LF as the only line ending.
+ * only and records the id of the last one, so that a broken stream can be resumed without repeating any
+ * bytes. Format: WHATWG HTML standard, section "Server-sent events", with LF as the only line ending.
  */
 export class EventStreamTracker {
   #partialEvent: Buffer = EMPTY;
--- a/packages/http-bindings/src/http-configuration-source.ts
+++ b/packages/http-bindings/src/http-configuration-source.ts
@@ -9,7 +9,9 @@
 const STATUS_NOT_FOUND = 404;
 const STATUS_TOO_MANY_REQUESTS = 429;
 
-/** Client of the configuration service over HTTP: `GET /values/KEY`; `after` and `wait` make it a long poll. */
+/**
+ * Client of the configuration service over HTTP: `GET /values/KEY`; `after` and `wait` make it a long poll.
+ */
 export class HttpConfigurationSource implements ConfigurationSource {
   readonly #url: string;
   readonly #dispatcher: Dispatcher;
--- a/packages/http-bindings/src/http-engine-client.ts
+++ b/packages/http-bindings/src/http-engine-client.ts
@@ -16,7 +16,10 @@
 import { streamExchange, type ExchangeEnd, type ExchangeFailure } from './stream-exchange.js';
 
 const REPORT_TIMEOUT_MS = 2000;
-/** Longer than ORDER_TIMEOUT_MS because a load waits for the weight store; engines answer other orders at once. */
+/**
+ * Longer than ORDER_TIMEOUT_MS because a load waits for the weight store; engines answer other orders at
+ * once.
+ */
 const LOAD_TIMEOUT_MS = 60_000;
 const ORDER_TIMEOUT_MS = 2500;
 const OK_STATUS = 200;
--- a/packages/http-bindings/src/index.ts
+++ b/packages/http-bindings/src/index.ts
@@ -1,4 +1,7 @@
-/** HTTP implementations of the ports to engines, services and the platform. Each can be replaced independently. */
+/**
+ * HTTP implementations of the ports to engines, services and the platform. Each can be replaced
+ * independently.
+ */
 export { HttpEngineClient } from './http-engine-client.js';
 export { HttpServiceClient } from './http-service-client.js';
 export { HttpConfigurationSource } from './http-configuration-source.js';
--- a/packages/http-bindings/src/stream-exchange.ts
+++ b/packages/http-bindings/src/stream-exchange.ts
@@ -3,7 +3,8 @@
 import { EventStreamTracker } from './event-stream-tracker.js';
 
 /**
- * The response ended normally: `answered` if it went to the sink, `refused` if `passesStatus` kept it from the sink.
+ * The response ended normally: `answered` if it went to the sink, `refused` if `passesStatus` kept it from
+ * the sink.
  */
 export interface ExchangeEnd {
   readonly kind: 'answered' | 'refused';
--- a/packages/load/src/bench/decision-cost.ts
+++ b/packages/load/src/bench/decision-cost.ts
@@ -6,7 +6,7 @@
 import { Telemetry } from '@canvasridge/telemetry';
 import type { Member } from '@canvasridge/membership';
 
-/** Size of the deployment that the users require. */
+/** Required size of the deployment. */
 const ADAPTERS = 42_000;
 const ENGINES = 600;
 const BASES = 5;
--- a/packages/load/src/bench/load-worker.ts
+++ b/packages/load/src/bench/load-worker.ts
@@ -15,7 +15,10 @@
   readonly pauseMs: number;
 }
 
-/** Measurement of a load worker. `completed`, `tokens` and the times cover requests that ended within the duration. */
+/**
+ * Measurement of a load worker. `completed`, `tokens` and the times cover requests that ended within the
+ * duration.
+ */
 export interface LoadMeasurement {
   readonly completed: number;
   readonly failed: number;
--- a/packages/load/src/bench/pass-through.ts
+++ b/packages/load/src/bench/pass-through.ts
@@ -3,7 +3,8 @@
 import { Agent, request } from 'undici';
 
 /**
- * Baseline of the benchmark: a minimal proxy with hono and undici, without queues, limits, adapters or ownership.
+ * Baseline of the benchmark: a minimal proxy with hono and undici, without queues, limits, adapters or
+ * ownership.
  * Run as `pass-through.js ENGINE_URL...`; prints its URL as one line of JSON.
  */
 const engines = process.argv.slice(2);
--- a/packages/load/src/callers/call.ts
+++ b/packages/load/src/callers/call.ts
@@ -15,8 +15,9 @@
 export interface CallAttempt {
   readonly requestId: string;
   /**
-   * Whether the system said that it executed the attempt: `answered` with a response, `no` or `unknown` with a problem,
-   * or `none` if the connection broke without a response. `no` also stands for an attempt that could not be sent.
+   * Whether the system said that it executed the attempt: `answered` with a response, `no` or `unknown` with
+   * a problem, or `none` if the connection broke without a response. `no` also stands for an attempt that
+   * could not be sent.
    */
   readonly reportedExecution: 'answered' | 'no' | 'unknown' | 'none';
 }
--- a/packages/load/src/callers/caller.ts
+++ b/packages/load/src/callers/caller.ts
@@ -5,7 +5,10 @@
 /** Response of the directory, which callers cache for `ttlMs`. */
 export interface Endpoints {
   readonly urls: readonly string[];
-  /** Node that decides whether a request with an idempotency key may run. */
+  /**
+   * Home token: names the node process that remembers idempotency keys and decides whether a request with one
+   * may run.
+   */
   readonly home: string;
   readonly ttlMs: number;
 }
@@ -96,7 +99,9 @@
     return toCallResult(call, attempts, last, firstTokenMs, transport.now() - startedAtMs);
   }
 
-  /** Waits until the directory names a home, before an at-most-once call is sent. Empty if it never names one. */
+  /**
+   * Waits until the directory names a home, before an at-most-once call is sent. Empty if it never names one.
+   */
   async #resolveHome(call: Call): Promise<string> {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       const { home } = await this.#endpoints(call);
--- a/packages/load/src/callers/evaluation.ts
+++ b/packages/load/src/callers/evaluation.ts
@@ -1,7 +1,9 @@
 import type { StandinRecords } from '@canvasridge/standin';
 import { isAtMostOnce, type CallResult } from './call.js';
 
-/** Evaluation of a run by the callers' results and the records of the back ends. The demo prints it as JSON. */
+/**
+ * Evaluation of a run by the callers' results and the records of the back ends. The demo prints it as JSON.
+ */
 export interface Evaluation {
   readonly requests: number;
   readonly completed: number;
@@ -85,7 +87,9 @@
   return results.filter((result) => result.outcome === outcome).length;
 }
 
-/** Number of executions by the caller's request id; nodes append a suffix to it for each attempt at an engine. */
+/**
+ * Number of executions by the caller's request id; nodes append a suffix to it for each attempt at an engine.
+ */
 function countExecutions(records: StandinRecords): Map<string, number> {
   const counts = new Map<string, number>();
   const add = (requestId: string): void => {
--- a/packages/load/src/commands/capacity.ts
+++ b/packages/load/src/commands/capacity.ts
@@ -4,7 +4,7 @@
 import { largeConfiguration, measureDecisionCost } from '../bench/decision-cost.js';
 import { measureHeapAfterGc, runHollowNodes, type HollowMeasurement } from '../scale/hollow-run.js';
 
-/** Size of the deployment that the users require. */
+/** Required size of the deployment. */
 const REQUIRED_NODES = 370;
 const REQUIRED_RUNNERS = 600;
 const REQUIRED_ADAPTERS = 42_000;
@@ -14,10 +14,14 @@
 
 export const capacityCommand: CommandDefinition = {
   name: 'capacity',
-  summary: 'Measures slopes with hollow nodes and writes the tables of docs/CAPACITY.md anew.',
+  summary: 'Measures slopes with hollow nodes and updates the tables in docs/CAPACITY.md.',
   options: {
     nodes: { type: 'string', help: 'numbers of nodes, separated by commas', default: '9,18,36,50' },
-    'calm-seconds': { type: 'string', help: 'virtual seconds of calm that are measured', default: '120' },
+    'calm-seconds': {
+      type: 'string',
+      help: 'virtual seconds without faults that are measured',
+      default: '120',
+    },
     file: { type: 'string', help: 'page to update', default: 'docs/CAPACITY.md', placeholder: 'FILE' },
   },
   run: async (input) => {
--- a/packages/load/src/commands/demo.ts
+++ b/packages/load/src/commands/demo.ts
@@ -72,7 +72,7 @@
   options: {
     timeline: {
       type: 'string',
-      help: 'write the timeline of all processes as an HTML picture',
+      help: 'write the timeline of all processes as an HTML page',
       placeholder: 'FILE',
     },
     seed: { type: 'string', help: 'seed of the callers', default: '1' },
@@ -159,7 +159,10 @@
   readonly callerIndex: number;
 }
 
-/** Generates calls of mixed kinds with Poisson arrivals; the popularity of adapters follows a Zipf distribution. */
+/**
+ * Generates calls of mixed kinds with Poisson arrivals; the popularity of adapters follows a Zipf
+ * distribution.
+ */
 function generateCalls(seed: number): TimedCall[] {
   const random = Random.derive(seed, 'demo-calls');
   const popularity = new Zipf(ADAPTERS_PER_BASE, POPULARITY_EXPONENT);
--- a/packages/load/src/commands/faults.ts
+++ b/packages/load/src/commands/faults.ts
@@ -23,12 +23,12 @@
     seed: { type: 'string', help: 'one seed, replayed exactly' },
     break: {
       type: 'string',
-      help: 'take this safeguard out of action; must find a violation',
+      help: 'disable this safeguard; the run must find a violation',
       placeholder: 'NAME',
     },
-    'list-breaks': { type: 'boolean', help: 'list the safeguards that can be taken out of action' },
+    'list-breaks': { type: 'boolean', help: 'list the safeguards that can be disabled' },
     adapters: { type: 'string', help: 'adapters of the deployment', default: String(DEFAULT_ADAPTERS) },
-    rate: { type: 'string', help: 'requests a second', default: String(DEFAULT_RATE) },
+    rate: { type: 'string', help: 'requests per second', default: String(DEFAULT_RATE) },
     threads: { type: 'string', help: 'threads; by default one less than there are cores' },
     report: {
       type: 'string',
--- a/packages/load/src/commands/scale.ts
+++ b/packages/load/src/commands/scale.ts
@@ -4,11 +4,11 @@
 import { lineChart, reportPage } from '../report/charts.js';
 import { runHollowNodes, type HollowMeasurement } from '../scale/hollow-run.js';
 
-/** Size that the users require. Fewer nodes get runners and adapters in proportion. */
+/** Required size of the deployment. Fewer nodes get runners and adapters in proportion. */
 const REQUIRED = { nodes: 370, runners: 600, adapters: 42_000 } as const;
 /**
- * Limits of the measurements, beyond which the command fails. Bytes and reads are per second, processor time is in
- * percent of a core, heap in MB, detection and configuration in seconds.
+ * Limits of the measurements, beyond which the command fails. Bytes and reads are per second, processor time
+ * is in percent of a core, heap in MB, detection and configuration in seconds.
  */
 const LIMITS = { bytes: 2048, cpu: 4.6, heap: 32, detection: 10, configuration: 10, reads: 2000 } as const;
 
@@ -18,12 +18,16 @@
     'Runs hollow nodes (the real control code, no callers) in virtual time and measures what control costs.',
   options: {
     nodes: { type: 'string', help: 'numbers of nodes, separated by commas', default: '9,18,36,50' },
-    runners: { type: 'string', help: 'engines; by default in proportion to 600 before 370 nodes' },
+    runners: { type: 'string', help: 'engines; by default 600 for 370 nodes, in proportion' },
     adapters: {
       type: 'string',
-      help: 'adapters whose waking and idling is published; by default 42,000 for 370 nodes',
+      help: 'adapters whose activity changes are published; by default 42,000 for 370 nodes, in proportion',
+    },
+    'calm-seconds': {
+      type: 'string',
+      help: 'virtual seconds without faults that are measured',
+      default: '120',
     },
-    'calm-seconds': { type: 'string', help: 'virtual seconds of calm that are measured', default: '120' },
     seed: { type: 'string', help: 'seed', default: '1' },
     report: { type: 'string', help: 'write an HTML report with plots into this folder', placeholder: 'DIR' },
     json: { type: 'boolean', help: 'print only the JSON lines' },
--- a/packages/load/src/deployments/deployments.ts
+++ b/packages/load/src/deployments/deployments.ts
@@ -2,7 +2,7 @@
 import { configurationSchema, type Configuration } from '@canvasridge/domain';
 import type { NodeSpec } from '../simulation/fleet.js';
 
-/** Model of one of the users' two deployments, with a chosen number of adapters. */
+/** Model of one of the operators' two deployments, with a chosen number of adapters. */
 export interface DeploymentModel {
   readonly name: string;
   readonly nodes: readonly NodeSpec[];
@@ -17,7 +17,7 @@
   readonly popularityExponent: number;
 }
 
-/** Size and settings of one of the users' deployments. */
+/** Size and settings of one of the operators' deployments. */
 interface DeploymentShape {
   readonly name: string;
   readonly zones: readonly string[];
--- a/packages/load/src/faults/checker.ts
+++ b/packages/load/src/faults/checker.ts
@@ -4,7 +4,7 @@
 import type { SimulatedFleet } from '../simulation/fleet.js';
 import type { InjectionLog } from './injector.js';
 
-/** The promises that the system keeps, in the order of docs/reference/promises.md. */
+/** The promises that the system keeps; `canvasridge-load faults` checks each of them. */
 export const PROMISES = [
   'right-adapter',
   'never-unload-serving',
@@ -29,7 +29,9 @@
 
 export type PromiseResults = Readonly<Record<PromiseName, PromiseResult>>;
 
-/** Time in which a leaving back end may still get work: lag of the machine list plus the nodes' polling of it. */
+/**
+ * Time in which a leaving back end may still get work: lag of the machine list plus the nodes' polling of it.
+ */
 const LEAVING_GRACE_MS = 3000 + 4500 + 1500;
 const MAX_EXAMPLES = 5;
 
@@ -40,8 +42,8 @@
 }
 
 /**
- * Checks revisions during a run: the revision in force in a process never decreases, and a revision number never
- * stands for two different contents.
+ * Checks revisions during a run: the revision in force in a process never decreases, and a revision number
+ * never stands for two different contents.
  */
 export class RevisionMonitor {
   readonly #fleet: SimulatedFleet;
--- a/packages/load/src/faults/disabled-safeguards.ts
+++ b/packages/load/src/faults/disabled-safeguards.ts
@@ -33,7 +33,7 @@
   {
     name: 'idle-proof',
     promise: 'never-unload-serving',
-    description: 'reports are believed to show every adapter idle',
+    description: 'every report shows all adapters as idle',
     overrides: { engine: (client) => new IdleReportClient(client) },
     faults: ['stop-node', 'stop-node', 'stop-node', 'popularity-jump', 'popularity-jump'],
     requestsPerSecond: 40,
@@ -42,7 +42,7 @@
     name: 'witness-lease',
     promise: 'never-unload-serving',
     description:
-      'leases on engines that check no fences are believed to last ten times as long, and no order to be late',
+      'leases on engines that do not check fences are assumed to last ten times as long, and orders never to arrive late',
     overrides: { ownershipTiming: { maxClockDrift: -9, orderTimeoutMs: 0 } },
     faults: ['pause-node', 'pause-node', 'pause-node', 'popularity-jump', 'popularity-jump'],
     requestsPerSecond: 40,
@@ -64,7 +64,7 @@
   {
     name: 'key-home',
     promise: 'at-most-once',
-    description: 'every node is told that it may run a key whose home it is not',
+    description: 'every node is told that it may run requests with keys of other homes',
     overrides: { peers: (caller) => new KeyGrantingPeerCaller(caller) },
     faults: ['one-way-cut', 'kill-node', 'service-breaks'],
   },
--- a/packages/load/src/faults/injector.ts
+++ b/packages/load/src/faults/injector.ts
@@ -223,7 +223,9 @@
     this.#fleet.publish(this.#nextConfiguration());
   }
 
-  /** Two operators plan and confirm against the same state; the revision published second has to be rejected. */
+  /**
+   * Two operators plan and confirm against the same state; the revision published second has to be rejected.
+   */
   #raceOperators(): void {
     const base = this.#fleet.headInForce();
     const confirmedAt = this.#fleet.publications;
--- a/packages/load/src/faults/run.ts
+++ b/packages/load/src/faults/run.ts
@@ -91,8 +91,8 @@
 }
 
 /**
- * Adds the faults of the disabled safeguard. Its absence shows only where it is needed, so the faults are drawn from
- * further schedules, and each `pause-node` gets the time of LONG_PAUSE.
+ * Adds the faults of the disabled safeguard. Its absence shows only where it is needed, so the faults are
+ * drawn from further schedules, and each `pause-node` gets the time of LONG_PAUSE.
  */
 function addSafeguardFaults(
   faults: readonly Fault[],
--- a/packages/load/src/scale/hollow-run.ts
+++ b/packages/load/src/scale/hollow-run.ts
@@ -6,7 +6,8 @@
 import { quantile } from '../callers/evaluation.js';
 
 /**
- * Size and length of a hollow run. Hollow nodes run the production control code in virtual time, but serve no callers.
+ * Size and length of a hollow run. Hollow nodes run the production control code in virtual time, but serve no
+ * callers.
  */
 export interface HollowRunOptions {
   readonly nodes: number;
@@ -43,7 +44,7 @@
 const CHANGE_TIMEOUT_MS = 20_000;
 const POLL_INTERVAL_MS = 100;
 const DATAGRAM_LOSS = 0.01;
-/** Fraction of adapters that become active and idle again within an hour, as stated by the users. */
+/** Fraction of adapters that become active and idle again within an hour, as stated by the operators. */
 const ADAPTER_CHURN_PER_HOUR = 0.15;
 const SECONDS_PER_HOUR = 3600;
 const BYTES_PER_MEGABYTE = 1_048_576;
@@ -70,7 +71,8 @@
     runners: options.runners,
     ...calm,
     controlHeapMegabytesMean: round(heap),
-    // All hollow nodes share one heap and differ only in the engines they own, so the mean stands for the worst node.
+    // All hollow nodes share one heap and differ only in the engines they own, so the mean stands for the
+    // worst node.
     controlHeapMegabytesWorst: round(heap),
     detectionSecondsP99: round(quantile(crashes.detectionSeconds, 0.99)),
     falseRemovals,
@@ -146,7 +148,9 @@
 const OBSERVER_COUNT = 5;
 const MEMBER_CHECK_INTERVAL_MS = 1000;
 
-/** Makes owners publish changed sets of loaded adapters at the rate at which adapters become active and idle. */
+/**
+ * Makes owners publish changed sets of loaded adapters at the rate at which adapters become active and idle.
+ */
 function startChurn(fleet: SimulatedFleet, options: HollowRunOptions): AbortController {
   const stop = new AbortController();
   const random = Random.derive(options.seed, 'churn');
@@ -199,7 +203,8 @@
       messages.reduce((sum, value) => sum + value, 0) / seconds / bytes.length,
     ),
     controlCpuPercentMean: round(cpuMean * 100),
-    // Processor time is proportional to traffic: the mean is scaled by the worst node's traffic relative to the mean.
+    // Processor time is proportional to traffic: the mean is scaled by the worst node's traffic relative to
+    // the mean.
     controlCpuPercentWorst: round(cpuMean * 100 * (worstBytes / (totalBytes / bytes.length))),
   };
 }
@@ -237,7 +242,9 @@
   return { detectionSeconds: detectionSeconds.sort((a, b) => a - b), enginesMoved };
 }
 
-/** For each running node, the seconds until it considers `id` dead; CRASH_TIMEOUT_MS if it does not in time. */
+/**
+ * For each running node, the seconds until it considers `id` dead; CRASH_TIMEOUT_MS if it does not in time.
+ */
 async function timeUntilRemoved(fleet: SimulatedFleet, id: string): Promise<number[]> {
   const startedAtMs = fleet.clock.now();
   const waitingProcesses = new Set(fleet.processes());
--- a/packages/load/src/simulation/engine-ports.ts
+++ b/packages/load/src/simulation/engine-ports.ts
@@ -207,7 +207,9 @@
     );
   }
 
-  /** Attaches to a generation and sends its tokens to the client, as server-sent events or as one document. */
+  /**
+   * Attaches to a generation and sends its tokens to the client, as server-sent events or as one document.
+   */
   #passTokens(
     sequence: Sequence,
     connection: Connection,
--- a/packages/load/src/simulation/exchange.ts
+++ b/packages/load/src/simulation/exchange.ts
@@ -1,8 +1,9 @@
 import type { Connection, Host, SimulatedNetwork } from './network.js';
 
 /**
- * Runs one exchange over a new connection. Resolves exactly once: with the value passed to `answer`, or with the result
- * of `onFailure` after a broken connection, a timeout or an abort. `sent` is false if no connection could be opened.
+ * Runs one exchange over a new connection. Resolves exactly once: with the value passed to `answer`, or with
+ * the result of `onFailure` after a broken connection, a timeout or an abort. `sent` is false if no
+ * connection could be opened.
  */
 export function exchange<T>(
   network: SimulatedNetwork,
--- a/packages/load/src/simulation/fleet.ts
+++ b/packages/load/src/simulation/fleet.ts
@@ -74,8 +74,8 @@
 const PEER_KEY = 'simulated-peer-key';
 
 /**
- * Simulates a whole deployment in one process and in virtual time: the production code of the nodes, bound to a
- * simulated network and to the emulators. The same seed gives the same run.
+ * Simulates a whole deployment in one process and in virtual time: the production code of the nodes, bound to
+ * a simulated network and to the emulators. The same seed gives the same run.
  */
 export class SimulatedFleet {
   readonly clock = new VirtualClock();
@@ -160,8 +160,9 @@
   }
 
   /**
-   * Publishes a configuration as an operator does: planned against the revision in force (`base`), and confirmed
-   * against the version at the configuration service. An older `confirmedAt` emulates an operator who was too slow.
+   * Publishes a configuration as an operator does: planned against the revision in force (`base`), and
+   * confirmed against the version at the configuration service. An older `confirmedAt` emulates an operator
+   * who was too slow.
    */
   publish(
     configuration: Configuration,
--- a/packages/load/src/simulation/network.ts
+++ b/packages/load/src/simulation/network.ts
@@ -68,7 +68,9 @@
     }
   }
 
-  /** Opens a connection; returns undefined if the server is stopped or the link is cut in either direction. */
+  /**
+   * Opens a connection; returns undefined if the server is stopped or the link is cut in either direction.
+   */
   connect(client: Host, server: Host): Connection | undefined {
     if (server.clock.stopped) return undefined;
     if (this.isCut(client.name, server.name) || this.isCut(server.name, client.name)) return undefined;
@@ -117,7 +119,9 @@
     return host === this.client || host === this.server;
   }
 
-  /** Runs `action` on the server after the delay and in order; over a cut link, breaks the connection instead. */
+  /**
+   * Runs `action` on the server after the delay and in order; over a cut link, breaks the connection instead.
+   */
   toServer(action: () => void): void {
     const { clock } = this.#network;
     const dueMs = Math.max(clock.now() + this.#network.delayMs(), this.#serverDueMs);
--- a/packages/load/test/faults.test.ts
+++ b/packages/load/test/faults.test.ts
@@ -17,7 +17,7 @@
   return PROMISES.flatMap((name) => result.promises[name].examples.map((example) => `${name}: ${example}`));
 }
 
-/** Seeds that exposed a fault, with that fault, and some that never did ("nothing"). */
+/** Seeds that exposed a fault, with that fault, and some that never did (`none`). */
 const regressionSeeds: readonly { deployment: DeploymentName; seed: number; pastFault: string }[] = [
   {
     deployment: 'imena',
@@ -34,13 +34,13 @@
     seed: 57,
     pastFault: 'a restarted node learned of no members and kept no revision',
   },
-  { deployment: 'imena', seed: 1, pastFault: 'nothing' },
-  { deployment: 'vidiral', seed: 2, pastFault: 'nothing' },
-  { deployment: 'vidiral', seed: 3, pastFault: 'nothing' },
+  { deployment: 'imena', seed: 1, pastFault: 'none' },
+  { deployment: 'vidiral', seed: 2, pastFault: 'none' },
+  { deployment: 'vidiral', seed: 3, pastFault: 'none' },
 ];
 
 for (const { deployment, seed, pastFault } of regressionSeeds) {
-  test(`${deployment} keeps its promises under the faults of seed ${seed} (fault found with it before: ${pastFault})`, async (t) => {
+  test(`${deployment} keeps its promises under the faults of seed ${seed} (fault found earlier with this seed: ${pastFault})`, async (t) => {
     const result = await run(deployment, seed);
     t.deepEqual(violations(result), []);
     t.true(result.completed > result.requests / 2, `${result.completed} of ${result.requests} completed`);
@@ -53,8 +53,8 @@
 });
 
 /**
- * Number of seeds within which each disabled safeguard has to cause a violation. Rare violations need a change of
- * owner and a load while a long generation runs.
+ * Number of seeds within which each disabled safeguard has to cause a violation. Rare violations need a
+ * change of owner and a load while a long generation runs.
  */
 const MAX_SEEDS = 200;
 const CAMPAIGN_TIMEOUT_MS = 400_000;
--- a/packages/telemetry/src/event-logger.ts
+++ b/packages/telemetry/src/event-logger.ts
@@ -8,7 +8,10 @@
 const LEVEL_NUMBERS: Readonly<Record<LogLevel, number>> = { error: 0, warn: 1, info: 3, debug: 4 };
 const PLAIN_VALUE = /^[\w.:/@%+-]+$/;
 
-/** Formats fields as `key=value` pairs in the given order; values with other than plain characters are JSON-quoted. */
+/**
+ * Formats fields as `key=value` pairs in the given order; values with other than plain characters are
+ * JSON-quoted.
+ */
 export function formatFields(fields: LogFields): string {
   const parts: string[] = [];
   for (const [key, value] of Object.entries(fields)) {
@@ -19,7 +22,10 @@
   return parts.join(' ');
 }
 
-/** What a log line is about: a single request, or the state of the process. Request lines are far more frequent. */
+/**
+ * What a log line is about: a single request, or the state of the process. Request lines are far more
+ * frequent.
+ */
 export type LineCategory = 'request' | 'state';
 
 /** Prefixes of the events that are about a single request. */
--- a/packages/telemetry/src/line-sink.ts
+++ b/packages/telemetry/src/line-sink.ts
@@ -2,15 +2,15 @@
 import type { LineCategory } from './event-logger.js';
 
 /**
- * Lines are batched for this long, since each write wakes a thread of the pool. A process that is killed loses at most
- * the lines of this time.
+ * Lines are batched for this long, since each write wakes a thread of the pool. A process that is killed
+ * loses the lines of about this time, and more if a write is slow or has to be retried.
  */
 const FLUSH_AFTER_MS = 200;
 const DROP_REPORT_INTERVAL_MS = 5000;
 
 /**
- * Fraction of the line rate that is reserved for lines about the state of the process: a leader under load logs some
- * hundred request lines a second, and that is when its state has to stay visible.
+ * Fraction of the line rate that is reserved for lines about the state of the process: a leader under load
+ * logs some hundred request lines a second, and that is when its state has to stay visible.
  */
 const STATE_LINE_FRACTION = 0.2;
 
@@ -24,9 +24,9 @@
 export const DEFAULT_LINE_SINK_LIMITS: LineSinkLimits = { pendingBytes: 262_144, linesPerSecond: 400 };
 
 /**
- * Writes lines to a file descriptor without ever blocking the process: writes go through the thread pool, one at a
- * time. Lines beyond the rate limit, or beyond the limit of waiting bytes, are dropped and counted; the count is
- * logged as `log.dropped`.
+ * Writes lines to a file descriptor without ever blocking the process: writes go through the thread pool, one
+ * at a time. Lines beyond the rate limit, or beyond the limit of waiting bytes, are dropped and counted; the
+ * count is logged as `log.dropped`.
  */
 export class LineSink {
   readonly #descriptor: number;
--- a/scripts/ablation.mjs
+++ b/scripts/ablation.mjs
@@ -1,12 +1,13 @@
 /**
- * Ablation study of the slot policy: simulates days of a deployment with all mechanisms enabled, then with each one
- * disabled, and prints the mean of the bench's figure "worth" and its difference for each.
+ * Ablation study of the slot policy: simulates days of a deployment with all mechanisms enabled, then with
+ * each one disabled, and prints the mean of the bench's figure "worth" and its difference for each.
  *
  *   node scripts/ablation.mjs --bench PROGRAM --site SITE --work DIR [--days a,b] [--seeds 0,7] [--jobs 6] [--off x,y]
  *
- * PROGRAM is the users' benchmark program. The script makes copies of the checkout below DIR, one for each mechanism
- * and one for all enabled, which differ only in the setting `switchedOff` of the deployment template. Seed 0 stands
- * for the default seed of the day. The journal entries that the bench writes in the copies are copied back.
+ * PROGRAM is the operators' benchmark program. The script makes copies of the checkout below DIR, one for
+ * each mechanism and one for all enabled, which differ only in the setting `switchedOff` of the deployment
+ * template. Seed 0 stands for the default seed of the day. The journal entries that the bench writes in the
+ * copies are copied back.
  */
 import { spawn } from 'node:child_process';
 import { cp, mkdir, readFile, rm, writeFile } from 'node:fs/promises';
@@ -36,7 +37,10 @@
 const unknown = values.off.split(',').filter((name) => !MECHANISMS.includes(name));
 if (unknown.length > 0) throw new Error(`--off ${unknown}: give some of ${MECHANISMS.join(', ')}`);
 
-/** Copies the checkout, disables one mechanism in the copy (none if undefined), and builds it. Returns its folder. */
+/**
+ * Copies the checkout, disables one mechanism in the copy (none if undefined), and builds it. Returns its
+ * folder.
+ */
 async function buildVariant(mechanism) {
   const folder = join(resolve(values.work), mechanism ?? 'all-on');
   await rm(folder, { recursive: true, force: true });
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,11 +1,11 @@
 /**
- * Bundles the program that runs on the platform into `target/`: the entry point `canvasridge.cjs`, the application code
- * `program.cjs`, and `program.cache`, the V8 code cache of `program.cjs`.
+ * Bundles the program that runs on the platform into `target/`: the entry point `canvasridge.cjs`, the
+ * application code `program.cjs`, and `program.cache`, the V8 code cache of `program.cjs`.
  *
- * Short start-up matters because a process that restarts after a power failure serves no requests until its code is
- * loaded, and a machine has only a third of a core. Processor time from the start until all sockets listen (median of
- * eight starts, measured twice, with other work on the machine): 0.46 and 0.52 s for one module with all libraries,
- * 0.29 and 0.24 s for this bundle.
+ * Short start-up matters because a process that restarts after a power failure serves no requests until its
+ * code is loaded, and a machine has only a third of a core. Processor time from the start until all sockets
+ * listen (median of eight starts, measured twice, with other work on the machine): 0.46 and 0.52 s for one
+ * module with all libraries, 0.29 and 0.24 s for this bundle.
  */
 import { spawnSync } from 'node:child_process';
 import { createHash } from 'node:crypto';
@@ -16,15 +16,15 @@
 if (compilation.status !== 0) process.exit(1);
 
 /**
- * Parts of undici that the program does not use: the web APIs, mocks, caches and interceptors that its index loads, and
- * the HTTP/2 client that its client loads.
+ * Parts of undici that the program does not use: the web APIs, mocks, caches and interceptors that its index
+ * loads, and the HTTP/2 client that its client loads.
  */
 const UNUSED_PARTS = /^\.\/(lib\/(web|mock|cache|interceptor)\/|client-h2\.js$)/;
 const IMPORTERS_OF_UNUSED_PARTS = /[\\/]undici[\\/](index|lib[\\/]dispatcher[\\/]client)\.js$/;
 
 /**
- * Replaces the unused parts by a stub where one of IMPORTERS_OF_UNUSED_PARTS imports them; other importers still get
- * them. Also leaves out msgpackr's native extension, which msgpackr can do without.
+ * Replaces the unused parts by a stub where one of IMPORTERS_OF_UNUSED_PARTS imports them; other importers
+ * still get them. Also leaves out msgpackr's native extension, which msgpackr can do without.
  */
 const stubUnusedParts = {
   name: 'without-unused-parts',
--- a/scripts/record-peer-messages.mjs
+++ b/scripts/record-peer-messages.mjs
@@ -1,7 +1,7 @@
 /**
  * Records the messages with which nodes of this build exchange the published state, as
- * packages/gateway/test/recorded/COMMIT.json. Compatibility: later builds have to read these messages, and to send
- * messages that this build can read.
+ * packages/gateway/test/recorded/COMMIT.json. Compatibility: later builds have to read these messages, and to
+ * send messages that this build can read.
  * Usage, after `npm run build`: node scripts/record-peer-messages.mjs COMMIT
  */
 import { writeFileSync } from 'node:fs';
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,7 +1,8 @@
 /**
- * Builds the project, runs all tests with ava, and prints `N passed, N failed` as the last line. Tests listed in
- * KNOWN-RED.txt (one per line: title | cause | issue; at most three) may fail: they are printed as `known red` and not
- * counted. A listed test that passes or does not exist fails a full run, so that the list has only failing tests.
+ * Builds the project, runs all tests with ava, and prints `N passed, N failed` as the last line. Tests listed
+ * in KNOWN-RED.txt (one per line: title | cause | issue; at most three) may fail: they are printed as `known
+ * red` and not counted. A listed test that passes or does not exist fails a full run, so that the list has
+ * only failing tests.
  */
 import { spawn, spawnSync } from 'node:child_process';
 import { existsSync, readFileSync } from 'node:fs';
