--- a/packages/slots/src/adapter-memory.ts
+++ b/packages/slots/src/adapter-memory.ts
@@ -5,9 +5,9 @@
 const CAPACITY = 34;
 
 /**
- * Tracks which adapters each engine likely has in its host memory, from where they load about ten times as fast as from
- * the weight store. Engines do not report this. It is inferred from the adapters seen loaded on them, on every node, so
- * that a new leader already knows most of it.
+ * Tracks which adapters each engine likely has in its host memory, from which they load about ten times as fast as
+ * from the weight store. Engines do not report this. It is inferred from the adapters seen loaded on them, on every
+ * node, so that a new leader already knows most of it.
  */
 export class AdapterMemory {
   readonly #cached = new Map<string, LRUCache<string, true>>();
--- a/packages/slots/src/order-lease.ts
+++ b/packages/slots/src/order-lease.ts
@@ -17,8 +17,8 @@
  */
 const MAX_FENCED_ORDERS = 2;
 /**
- * How long after a report was requested an order may rely on the count in it, in milliseconds. This is about the lag of
- * the reports themselves, so a longer time would double the window in which foreign orders go unnoticed.
+ * How long after a report was requested an order may rely on the count in it, in milliseconds. Reports themselves lag by
+ * about as much, so with a longer time foreign orders could go unnoticed for more than twice that lag.
  */
 const REPORT_VALID_MS = 200;
 
--- a/packages/slots/src/peer-visibility.ts
+++ b/packages/slots/src/peer-visibility.ts
@@ -94,7 +94,10 @@
     return this.#visible.size > 0 && this.#lostAtMs.size === 0;
   }
 
-  /** Whether this node sees a majority of recent members. Of two equal halves, the one with the smallest id counts. */
+  /**
+   * Whether this node sees a majority of recent members. Of two equal halves, the one with the smallest id counts as the
+   * majority.
+   */
   seesMost(): boolean {
     if (this.#visible.size === 0 && this.#lostAtMs.size === 0) {
       return this.#clock.now() - this.#startedMs >= this.#aloneAfterMs;
--- a/packages/slots/src/slot-pool.ts
+++ b/packages/slots/src/slot-pool.ts
@@ -44,7 +44,7 @@
 const MAX_INDEX_AGE_MS = 8;
 /** Backlog of an engine, as a fraction of the request's objective, above which a load on another engine is considered. */
 const SHORT_BACKLOG_SHARE = 0.15;
-/** Backlog, as a fraction of the objective, above which a request stays in the pool, where it can still get another engine. */
+/** Backlog, as a fraction of the objective, above which a request keeps waiting, as it can still get another engine. */
 const LONG_BACKLOG_SHARE = 0.45;
 /** The same limit for a request that is late in any case: it may only go where it delays few requests that are not. */
 const LATE_BACKLOG_SHARE = 0.2;
--- a/packages/slots/src/waiting-list.ts
+++ b/packages/slots/src/waiting-list.ts
@@ -6,7 +6,7 @@
 /** A request has at least this fraction of its objective to be started, even if its prefill takes nearly all of it. */
 const MIN_START_SHARE = 0.25;
 
-/** Each lower priority level makes the start deadline this much later. */
+/** The start deadline is this much later for each priority level below the most urgent one, which is 0. */
 const MS_PER_PRIORITY_LEVEL = 60;
 /** The start deadline of a retry after a refusal is this much earlier, because a second refusal costs more. */
 const RETURNED_BOOST_MS = 150;
@@ -48,11 +48,11 @@
 }
 
 /**
- * Why a request waits. `loading`: its adapter is being loaded. `backlog`: the engines that have the adapter have too many
- * prompts queued. `no-room`: no engine can load another adapter. `too-late`: the adapter is not fetched, because that
- * would take too long or another engine has it in host memory. `fetch-limit`: too many other fetches are in progress.
- * `rate-limit`: an engine that could run it has reached its rate limit. `no-engine`: no engine is available for a request
- * to the base model.
+ * Why a request waits. `none`: it was not tried yet. `loading`: its adapter is being loaded. `backlog`: the engines that
+ * have the adapter have too many prompts queued. `no-room`: no engine can load another adapter. `too-late`: the adapter
+ * is not fetched, because that would take too long or another engine has it in host memory. `fetch-limit`: too many
+ * other fetches are in progress. `rate-limit`: an engine that could run it has reached its rate limit. `no-engine`: no
+ * engine is available for a request to the base model.
  */
 export type WaitObstacle =
   'none' | 'rate-limit' | 'no-engine' | 'loading' | 'backlog' | 'no-room' | 'too-late' | 'fetch-limit';
@@ -68,7 +68,7 @@
   readonly #prefillMs: (tokens: number) => number;
   readonly #disabled: DisabledMechanisms;
   readonly #sharing: TenantSharing;
-  /** By tenant: the time up to which its recent grants count, its virtual clock. */
+  /** The virtual clock of each tenant: the time up to which its recent grants count against it. */
   readonly #virtualTimeMs = new Map<string, number>();
   /** By tenant: how far one grant advances its virtual clock. Empty while fewer than two tenants wait. */
   #virtualCostMs: ReadonlyMap<string, number> = new Map();
