--- a/packages/gateway/src/backends/backend-connections.ts
+++ b/packages/gateway/src/backends/backend-connections.ts
@@ -7,6 +7,7 @@
   keepAliveMarginMs: 600,
   maxKeepAliveMs: 60_000,
 };
+/** A node may open this many connections to a backend, however small its share of the limit is. */
 const MIN_CONNECTIONS = 4;
 /** Share of a backend's connection limit that all nodes together use. */
 const CONNECTION_SHARE = 0.8;
--- a/packages/gateway/src/backends/least-loaded-picker.ts
+++ b/packages/gateway/src/backends/least-loaded-picker.ts
@@ -10,6 +10,7 @@
  */
 const FAILURE_WEIGHT = 4;
 const FAILURE_HALF_LIFE_MS = 2500;
+/** Weight of the newest response time in the moving average of a backend. */
 const LATENCY_WEIGHT = 0.2;
 const NO_BACKEND_RETRY_MS = 500;
 
--- a/packages/gateway/src/cluster/cluster.ts
+++ b/packages/gateway/src/cluster/cluster.ts
@@ -28,6 +28,7 @@
   readonly peerAddress: string;
   /** `IP:port` for callers. */
   readonly frontAddress: string;
+  /** Random value that distinguishes this process from others of the same node before and after it. */
   readonly processToken: string;
   /** CPU time that this node may use, in cores of the usual speed. */
   readonly capacity: number;
@@ -44,7 +45,9 @@
   readonly onQuarantine: () => void;
 }
 
-/** Faster than the defaults, which suit large fleets: a dead leader holds up loads. */
+/**
+ * Faster than the defaults, which suit large fleets: until a dead leader is replaced, no adapters are loaded.
+ */
 const TIMING: MembershipTiming = {
   ...DEFAULT_MEMBERSHIP_TIMING,
   probePeriodMs: 400,
@@ -72,9 +75,14 @@
  * often.
  */
 interface MemberView {
-  /** The membership's lists from which this view was built. */
+  /**
+   * All known members, including dead ones and those that have left. The view is built anew when the
+   * membership returns another array for this or for `present`.
+   */
   readonly known: readonly Member[];
+  /** Members that are alive, suspected to be dead, or leaving. */
   readonly present: readonly Member[];
+  /** Those of them that are alive and not leaving. */
   readonly serving: readonly Member[];
   /** Names of visible members, without this node. */
   readonly visible: readonly string[];
--- a/packages/gateway/src/cluster/configuration-freshness.ts
+++ b/packages/gateway/src/cluster/configuration-freshness.ts
@@ -19,6 +19,7 @@
 export class ConfigurationFreshness {
   readonly #clock: Clock;
   readonly #fleet: FleetState;
+  /** When the configuration in force was last known to be the newest one, on this node's clock. */
   #confirmedMs = -Infinity;
   /** A version that is not in force here yet, and when it was known to be the newest. */
   #pendingConfirmation: { readonly version: number; readonly asOfMs: number } | undefined;
@@ -88,7 +89,10 @@
       : { configurationVersion };
   }
 
-  /** In milliseconds; Infinity if it was never known. */
+  /**
+   * Time since the configuration in force was last known to be the newest one, in milliseconds; Infinity if
+   * it never was.
+   */
   get ageMs(): number {
     this.#applyPendingConfirmation();
     return this.#clock.now() - this.#confirmedMs;
--- a/packages/gateway/src/cluster/configuration-parts.ts
+++ b/packages/gateway/src/cluster/configuration-parts.ts
@@ -45,8 +45,8 @@
  */
 export const MAX_WAITING_BYTES = 4 * 1024 * 1024;
 /**
- * 1,212 routes of 246 bytes with random names compress to 15 KB in 0.8 ms of a core; level 6 takes 2.0 ms for
- * 3% less.
+ * Compression level. With it, 1,212 routes of 246 bytes with random names compress to 15 KB in 0.8 ms of a
+ * core; level 6 takes 2.0 ms for 3% less.
  */
 const PACK_LEVEL = 3;
 /**
--- a/packages/gateway/src/cluster/fleet-quarantine.ts
+++ b/packages/gateway/src/cluster/fleet-quarantine.ts
@@ -10,7 +10,7 @@
 import type { Cluster } from './cluster.js';
 import type { PeerCaller } from './peer-caller.js';
 
-/** Reports to a home node the requests during which backends crashed. */
+/** Reports to a home node (one of the few that count crashes) the requests during which backends crashed. */
 export const INTERRUPTED_METHOD = 'quarantine.interrupted';
 
 /** Reports to a home node that a backend has completed a request. */
@@ -73,6 +73,7 @@
 const MAX_SUSPECTS = 12;
 /** Nodes that count interruptions: one may fail and another be cut off before the third interruption. */
 const HOME_COUNT = 3;
+/** Name by which nodes are ranked as homes. */
 const HOMES_RANKING = 'quarantine';
 /** All interruptions by the crash of an engine are reported in one message. */
 const BATCH_DELAY_MS = 5;
--- a/packages/gateway/src/cluster/fleet-quotas.ts
+++ b/packages/gateway/src/cluster/fleet-quotas.ts
@@ -144,8 +144,8 @@
 const BORROW_TIMEOUT_MS = 150;
 
 /**
- * Quotas that apply to all nodes together: each group of subjects has a home, the node that ranks first for
- * it.
+ * Quotas that apply to all nodes together. Their subjects, tenants or backends, are divided into groups. Each
+ * group has a home, the node that ranks first for it, from which the other nodes borrow units.
  */
 export class FleetQuotas {
   readonly #options: FleetQuotasOptions;
--- a/packages/gateway/src/cluster/key-lease.ts
+++ b/packages/gateway/src/cluster/key-lease.ts
@@ -24,11 +24,13 @@
 export interface KeyLease {
   /** A configuration that was last known to be the newest longer ago than this grants no rights any more. */
   readonly leaseMs: number;
+  /** Longest watch of the operators' entries. */
   readonly watchMs: number;
   /** A watch that is overdue by this is abandoned, and the entries are read instead. */
   readonly overdueMs: number;
 }
 
+/** Used where no revocation bound is set: the configuration never expires. */
 export const NO_KEY_LEASE: KeyLease = { leaseMs: Infinity, watchMs: Infinity, overdueMs: Infinity };
 
 /** @param revocationMs time within which every node must stop running requests for a revoked key */
--- a/packages/gateway/src/cluster/order-permission.ts
+++ b/packages/gateway/src/cluster/order-permission.ts
@@ -42,9 +42,9 @@
  */
 const MAX_QUORUM_AGE_MS = 1500;
 /**
- * For this long a new leader does not become holder of any engine. The previous leader may give orders until
- * its quorum expires, 1.5 s after it was cut off, and an order may be in transit for another 0.6 s, whereas
- * this node leads after 1.45 s at the earliest.
+ * For this long a new leader does not become holder of any engine (the node that gives it orders). The
+ * previous leader may give orders until its quorum expires, 1.5 s after it was cut off, and an order may be
+ * in transit for another 0.6 s, whereas this node leads after 1.45 s at the earliest.
  */
 export const HANDOVER_MS = 1000;
 /**
--- a/packages/gateway/src/cluster/pool-entry.ts
+++ b/packages/gateway/src/cluster/pool-entry.ts
@@ -11,6 +11,9 @@
   pool: SlotPool | undefined;
   leading: boolean;
   leadingSinceMs: number;
-  /** When reports last showed orders of another node to any engine of the pool. */
+  /**
+   * When reports last showed orders of another node to any engine of the pool while this node may have been
+   * cut off from most others.
+   */
   foreignOrdersMs: number;
 }
--- a/packages/gateway/src/cluster/remote-slots.ts
+++ b/packages/gateway/src/cluster/remote-slots.ts
@@ -12,7 +12,7 @@
 const SILENCE_MS = 400;
 /** A leader that is sending other messages acknowledges a request within this time. */
 const ACKNOWLEDGE_TIMEOUT_MS = 1500;
-/** An unresponsive leader is not asked again for this long. */
+/** No leader is asked for this long after one was silent. */
 const AVOID_LEADER_MS = 400;
 /** A queued request without a decision from its leader is decided here after its timeout plus this margin. */
 const DECISION_MARGIN_MS = 50;
--- a/packages/gateway/src/cluster/slot-protocol.ts
+++ b/packages/gateway/src/cluster/slot-protocol.ts
@@ -38,6 +38,7 @@
   readonly uses: readonly RunningUse[];
 }
 
+/** Params of {@link RELEASE_METHOD} and {@link CANCEL_METHOD}. */
 export interface ReleaseParams {
   readonly pool: string;
   readonly requestId: string;
--- a/packages/gateway/src/gateway-settings.ts
+++ b/packages/gateway/src/gateway-settings.ts
@@ -17,6 +17,7 @@
   readonly frontPort: number;
   /** Port for gossip over UDP and for calls between nodes over TCP. */
   readonly peerPort: number;
+  /** Key shared by the nodes, which authenticates gossip. */
   readonly peerKey: string;
   /** Memory that the process may use, in bytes. */
   readonly memoryBytes: number;
--- a/packages/gateway/src/request/backend-attempt.ts
+++ b/packages/gateway/src/request/backend-attempt.ts
@@ -47,6 +47,11 @@
   /** The request has timed out, lost its authorization, or is quarantined. */
   | 'not-allowed';
 
+/**
+ * `unreachable`: the backend accepted no connection in time; `refused`: its response says that it did not run
+ * the request; `not-present`: the same, because it does not have the model or adapter; `no-connection`: this
+ * node already uses all connections to the backend that it may open.
+ */
 export type NotRunReason = NotWrittenReason | 'unreachable' | 'refused' | 'not-present' | 'no-connection';
 
 export interface AttemptOptions {
--- a/packages/gateway/src/request/exchange.ts
+++ b/packages/gateway/src/request/exchange.ts
@@ -31,7 +31,9 @@
   readonly connections: BackendConnections;
   readonly notices: BackendNotices;
   readonly availability: BackendAvailability;
+  /** For services of interchangeable backends. */
   readonly plainPicker: BackendPicker;
+  /** For services of model engines. */
   readonly enginePicker: BackendPicker;
   readonly budget: (service: string) => RetryBudget;
   /** This node's share of limits that apply to the whole fleet, from 0 to 1. */
@@ -57,13 +59,14 @@
   readonly metrics: GatewayMetrics;
 }
 
-/** Maximum number of sends of one request, including those that were refused. */
+/** Maximum number of attempts to send one request, including those that were refused. */
 const MAX_SENDS = 5;
 /**
  * Subtracted from the deadline that is passed to the backend, to leave time for sending the response to the
  * client.
  */
 const RESPONSE_MARGIN_MS = 10;
+
 /** Handles one client request from its headers to the end of its response. */
 export class Exchange {
   readonly #context: ExchangeContext;
@@ -84,7 +87,9 @@
   #attempt: BackendAttempt | undefined;
   #ended = false;
   #mayHaveRun = false;
+  /** Attempts so far, including those whose request was not sent or not run. */
   #sends = 0;
+  /** Attempts so far in which a backend ran the request, or may have run it. */
   #runs = 0;
   #excluded: string[] = [];
   #lastEventId = -1;
--- a/packages/gateway/src/request/inactivity-limit.ts
+++ b/packages/gateway/src/request/inactivity-limit.ts
@@ -7,6 +7,7 @@
  */
 const OBJECTIVES_PER_LIMIT = 2;
 const MIN_LIMIT_MS = 250;
+/** Cap on the limit for a backend that answers no other request of this node either. */
 const MAX_IDLE_BACKEND_MS = 1300;
 /** Added to the limit while the backend answers other requests. */
 const BUSY_EXTRA_MS = 1000;
--- a/packages/gateway/src/request/response-sink.ts
+++ b/packages/gateway/src/request/response-sink.ts
@@ -20,6 +20,7 @@
     return this.#response.headersSent;
   }
 
+  /** When the status line was written, by `performance.now()`; undefined before that. */
   get firstByteMs(): number | undefined {
     return this.#firstByteMs;
   }
