--- a/packages/gateway/src/cluster/cluster.ts
+++ b/packages/gateway/src/cluster/cluster.ts
@@ -30,7 +30,7 @@
   readonly frontAddress: string;
   /** Random value that distinguishes this process from others of the same node before and after it. */
   readonly processToken: string;
-  /** CPU time that this node may use, in cores of the usual speed. */
+  /** CPU time that this node may use, in cores of the reference speed. */
   readonly capacity: number;
   readonly transport: DatagramTransport;
   readonly clock: Clock;
@@ -84,9 +84,9 @@
   readonly present: readonly Member[];
   /** Those of them that are alive and not leaving. */
   readonly serving: readonly Member[];
-  /** Names of visible members, without this node. */
+  /** Ids of visible members, without this node. */
   readonly visible: readonly string[];
-  /** Names of members that announced that they are leaving or have left. */
+  /** Ids of members that announced that they are leaving or have left. */
   readonly departed: readonly string[];
   /** By the pool's name: see {@link Cluster.candidates}. */
   readonly candidates: Map<string, readonly string[]>;
@@ -263,7 +263,7 @@
     return claims;
   }
 
-  /** Names of members that report being overloaded. */
+  /** Ids of members that report being overloaded. */
   busy(): ReadonlySet<string> {
     return new Set([...this.#published(peerRecords.busy, BUSY_KEY)].map(({ member }) => member.id));
   }
--- a/packages/gateway/src/cluster/directory.ts
+++ b/packages/gateway/src/cluster/directory.ts
@@ -4,7 +4,7 @@
 export interface DirectoryCluster {
   /** Members considered to be serving. */
   serving(): readonly Member[];
-  /** Names of members that report being overloaded. */
+  /** Ids of members that report being overloaded. */
   busy(): ReadonlySet<string>;
 }
 
@@ -32,7 +32,7 @@
   readonly #cluster: DirectoryCluster;
   readonly #leaders: () => ReadonlySet<string>;
 
-  /** @param leaders names of the nodes that lead pools, whose loss should not also interrupt callers */
+  /** @param leaders ids of the nodes that lead pools, whose loss should not also interrupt callers */
   constructor(cluster: DirectoryCluster, leaders: () => ReadonlySet<string>) {
     this.#cluster = cluster;
     this.#leaders = leaders;
--- a/packages/gateway/src/cluster/fleet-share.ts
+++ b/packages/gateway/src/cluster/fleet-share.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@canvasridge/clock';
 import type { Directory } from './directory.js';
 
-/** A share is computed again after this time, as that takes a pass over all members. */
+/** A share is computed again only after this time, because each computation reads all members. */
 const REFRESH_MS = 250;
 /**
  * The share in use is the smallest one of this time, so that a node that is cut off from others does not use
--- a/packages/gateway/src/cluster/published-state.ts
+++ b/packages/gateway/src/cluster/published-state.ts
@@ -67,6 +67,7 @@
 /** Longest watch of the operators' entries where no revocation bound is set for keys. */
 const MAX_OPERATOR_WATCH_MS = 5000;
 const MAX_OPERATOR_OVERDUE_MS = 1000;
+/** Longest pause of a reader after a failed read of the store. */
 const READER_RETRY_MS = 700;
 /**
  * Used by a follower that has to read the store itself and fails: most likely no node can read it, and the
--- a/packages/gateway/src/cluster/slot-service.ts
+++ b/packages/gateway/src/cluster/slot-service.ts
@@ -149,7 +149,7 @@
     return false;
   }
 
-  /** Names of the nodes that lead pools, as far as this node knows. */
+  /** Ids of the nodes that lead pools, as far as this node knows. */
   leaders(): ReadonlySet<string> {
     const leaders = [...this.#pools.values()].map(({ leadership }) => leadership.leader);
     return new Set(leaders.filter((leader) => leader !== undefined));
--- a/packages/gateway/src/cluster/state-follower.ts
+++ b/packages/gateway/src/cluster/state-follower.ts
@@ -97,6 +97,7 @@
   #completeMs = -Infinity;
   #startedMs: number;
   #reading = true;
+  /** Rises with each poll, so that the readers are asked in turn. */
   #rotation = 0;
   /** Requests that are not answered yet, by the reader's id. */
   readonly #pendingAnswers = new Map<string, Promise<void>>();
--- a/packages/gateway/src/gateway-settings.ts
+++ b/packages/gateway/src/gateway-settings.ts
@@ -21,7 +21,7 @@
   readonly peerKey: string;
   /** Memory that the process may use, in bytes. */
   readonly memoryBytes: number;
-  /** CPU time that this node may use, in cores of the usual speed. */
+  /** CPU time that this node may use, in cores of the reference speed. */
   readonly capacity: number;
   readonly retryBudget: RetryBudgetOptions;
   readonly slotTiming: SlotTiming;
