--- a/packages/gateway/src/gateway-settings.ts
+++ b/packages/gateway/src/gateway-settings.ts
@@ -17,10 +17,11 @@
   readonly frontPort: number;
   /** Port for gossip over UDP and for calls between nodes over TCP. */
   readonly peerPort: number;
+  /** Key shared by the nodes, which authenticates gossip. */
   readonly peerKey: string;
   /** Memory that the process may use, in bytes. */
   readonly memoryBytes: number;
-  /** CPU time that this node may use, in cores of the usual speed. */
+  /** CPU time that this node may use, in cores of the reference speed. */
   readonly capacity: number;
   readonly retryBudget: RetryBudgetOptions;
   readonly slotTiming: SlotTiming;
