--- a/packages/admission/src/quota/quota-borrower.ts
+++ b/packages/admission/src/quota/quota-borrower.ts
@@ -38,8 +38,8 @@
 const HOME_RETRY_MS = 300;
 
 /**
- * Limits the burst of a node that decides locally to its share of the units of this time, since the next home
- * starts with a fraction of the burst as well.
+ * While a node decides locally, its burst is at most its share of the units that accrue in this time, since
+ * the next home starts with a fraction of the burst as well.
  */
 const LOCAL_BURST_MS = 1000;
 
@@ -67,7 +67,10 @@
   share: number | undefined;
   /** Units of the last request. */
   lastUnits: number;
-  /** Whether the home lent less in advance than requested, so that asking again at once is of no use. */
+  /**
+   * Whether the home lent less in advance than requested or did not answer, so that asking again at once is
+   * of no use.
+   */
   isHomeShort: boolean;
 }
 
@@ -250,6 +253,7 @@
   }
 }
 
+/** What is asked of the home for one subject, and the requests that wait for the answer. */
 interface PendingLoan {
   readonly account: Account;
   readonly waiting: readonly Waiting[];
--- a/packages/admission/src/quota/quota-lender.ts
+++ b/packages/admission/src/quota/quota-lender.ts
@@ -99,6 +99,7 @@
     this.#startedMs = options.clock.now();
   }
 
+  /** Answers a node's requests in order. A request whose subject has no rule is skipped. */
   lend(borrower: string, requests: readonly LoanRequest[]): Loan[] {
     const loans: Loan[] = [];
     for (const request of requests) {
--- a/packages/admission/src/request-keys.ts
+++ b/packages/admission/src/request-keys.ts
@@ -30,7 +30,11 @@
   /** The table of keys is full; the request was not run. */
   | { readonly kind: 'full' };
 
-/** Answer to another node that asks to run a request whose home is this process. */
+/**
+ * Answer to another node that asks to run a request whose home is this process. `granted`: it may run it.
+ * `known-here`: the request runs or ran here. `elsewhere`: a third process has the right to run it.
+ * `unknown`: the key's epoch is not stored. `full`: the table of keys is full.
+ */
 export const KEY_TRANSFERS = ['granted', 'known-here', 'elsewhere', 'unknown', 'full'] as const;
 export type KeyTransfer = (typeof KEY_TRANSFERS)[number];
 
@@ -46,6 +50,7 @@
 
 /** Epochs kept: the current one, and the one before it, whose home tokens callers may still hold. */
 const KEPT_EPOCHS = 2;
+/** Maximum number of keys in all epochs together. Keys beyond it are answered with `full`. */
 const MAX_ENTRIES = 100_000;
 
 /**
--- a/packages/clock/src/continuous-clock.ts
+++ b/packages/clock/src/continuous-clock.ts
@@ -1,6 +1,9 @@
 import type { Clock, Timer } from './clock.js';
 
-/** Larger than the resolutions of the clocks (1 and 10 ms) and their relative drift in one second. */
+/**
+ * Differences between the clocks of up to this are ignored: it is larger than the clocks' resolutions (1 and
+ * 10 ms) and their relative drift in one second.
+ */
 const TOLERANCE_MS = 30;
 /** Interval at which the offsets between the clocks are updated, so that drift does not accumulate. */
 const CHECK_INTERVAL_MS = 1000;
--- a/packages/clock/src/random.ts
+++ b/packages/clock/src/random.ts
@@ -4,6 +4,7 @@
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
+/** Number of different values that `next` can return. */
 const FRACTION_STEPS = 0x7fffffff;
 
 /** 32-bit FNV-1a hash of a text, for deriving seeds. */
--- a/packages/clock/src/suspendable-clock.ts
+++ b/packages/clock/src/suspendable-clock.ts
@@ -1,6 +1,6 @@
 import { sleepOn, type Clock, type Timer } from './clock.js';
 
-/** Rounding errors of sums of floating-point numbers are smaller. */
+/** A timer with at most this time left is due: rounding errors of floating-point sums are smaller. */
 const ROUNDING_MS = 1e-6;
 
 /**
--- a/packages/membership/src/codec.ts
+++ b/packages/membership/src/codec.ts
@@ -14,6 +14,7 @@
  */
 const text = z.string().max(256);
 const stateCode = z.int().min(0).max(4);
+/** Each state is sent as its index in this list. */
 const STATES: readonly MemberState[] = ['alive', 'suspect', 'draining', 'dead', 'left'];
 
 /** [0, id, incarnation, state, suspicionAgeMs] */
@@ -57,6 +58,7 @@
   recordUpdate,
   versionUpdate,
 ];
+/** Messages with more updates are dropped. */
 const MAX_UPDATES = 2000;
 
 /** [kind, sender, revision, sequence, target, updates] */
@@ -131,8 +133,9 @@
 export interface GossipMessage {
   readonly kind: MessageKind;
   readonly sender: string;
-  /** Configuration revision in force at the sender. */
+  /** Number that identifies the configuration in force at the sender. */
   readonly revision: number;
+  /** Number of a ping or ping request, which its `ack` repeats; 0 in all other messages. */
   readonly sequence: number;
   /** The address to probe for `ping-request`, the state digest for `digest`, otherwise empty. */
   readonly target: string;
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -22,7 +22,7 @@
 export interface MembershipEvents {
   /** A member's state or identity changed; `before` is its previous state, undefined for a new member. */
   onMember?(member: Member, before: MemberState | undefined): void;
-  /** Called for each message of a known member with the configuration revision that the message carries. */
+  /** Called for each message of a known member, with its number for the configuration in force there. */
   onRevision?(member: Member, revision: number): void;
   /** A record of another node was added or replaced. */
   onRecord?(record: PublishedRecord): void;
@@ -37,7 +37,7 @@
   readonly events: MembershipEvents;
   /** Addresses through which to join, from the settings and the machine list. */
   readonly seeds: () => readonly string[];
-  /** Configuration revision in force on this node, sent with each message. */
+  /** Number that identifies the configuration in force on this node, sent with each message. */
   readonly revision: () => number;
   readonly timing?: MembershipTiming;
 }
@@ -431,10 +431,11 @@
   }
 
   /**
-   * Handles a sender that is not present in the member table. A sender that this node believes dead or
-   * left is sent that state, so that it can refute it. An unknown sender is sent this node's identity and asked for its own: if all seeds
-   * have restarted, no other node announces a member that kept running, and a state comparison covers only
-   * the members that the other side lists. Without this, two nodes led the same engines for a minute.
+   * Handles a sender that is not present in the member table. A sender that this node believes dead or left
+   * is sent that state, so that it can refute it. An unknown sender is sent this node's identity and asked
+   * for its own: if all seeds have restarted, no other node announces a member that kept running, and a state
+   * comparison covers only the members that the other side lists. Without this, two nodes owned the same
+   * engines for a minute.
    */
   #notifyAbsentSender(sender: string, address: string): void {
     const known = this.#table.get(sender);
--- a/packages/membership/src/peer-caller.ts
+++ b/packages/membership/src/peer-caller.ts
@@ -7,6 +7,7 @@
 /** Why a call to a peer returned no valid answer. */
 export type PeerCallError =
   | { readonly kind: 'unreachable'; readonly peerUrl: string; readonly detail: string }
+  /** The peer answered with a JSON-RPC error, whose code is `code`. */
   | { readonly kind: 'refused'; readonly peerUrl: string; readonly code: number; readonly detail: string }
   | { readonly kind: 'malformed-answer'; readonly peerUrl: string; readonly detail: string };
 
--- a/packages/membership/src/peer-rpc-server.ts
+++ b/packages/membership/src/peer-rpc-server.ts
@@ -15,6 +15,7 @@
   ): void {
     this.#server.addMethod(method, async (params: unknown) => {
       const checked = schema.safeParse(params);
+      // -32602 is the code for invalid parameters in JSON-RPC 2.0.
       if (!checked.success) throw new JSONRPCErrorException(`${method}: ${checked.error.message}`, -32602);
       return handler(checked.data);
     });
