--- a/packages/configuration/src/configuration-follower.ts
+++ b/packages/configuration/src/configuration-follower.ts
@@ -136,9 +136,9 @@
    */
   async #handleAnswer(answer: Result<SourceValue, ConfigurationSourceError>): Promise<Result<void, string>> {
     if (answer.isErr()) return err(answer.error.kind);
-    // An outdated replica answered, or the watch ended without a change: there is nothing new, and no need to
-    // read again immediately.
+    // The watch ended without a change.
     if (answer.value.version === this.store.sourceVersion) return ok();
+    // An outdated replica answered: there is nothing new, and no need to read again immediately.
     if (answer.value.version < this.store.sourceVersion) return err('older than what is in force');
     const head = parseHead(answer.value.value);
     if (head === undefined) return err('the head document is malformed');
@@ -176,6 +176,7 @@
     return true;
   }
 
+  /** Logs an unexpected refusal, once for each revision. Returns whether the revision is in force anyway. */
   #reportRefusal(
     head: RevisionHead,
     refusal: { readonly kind: string; readonly detail?: string },
--- a/packages/configuration/src/revision-store.ts
+++ b/packages/configuration/src/revision-store.ts
@@ -57,6 +57,7 @@
     return this.#inForce?.index;
   }
 
+  /** Version that the configuration service assigned to the head in force; 0 before the first. */
   get sourceVersion(): number {
     return this.#inForce?.sourceVersion ?? 0;
   }
@@ -77,6 +78,7 @@
     return this.#refused;
   }
 
+  /** Text of a chunk of the revision in force. */
   chunk(sha256: string): string | undefined {
     return this.#inForce?.chunks.get(sha256);
   }
--- a/packages/ownership/src/engine-ownership.ts
+++ b/packages/ownership/src/engine-ownership.ts
@@ -5,11 +5,13 @@
 
 /** What a node knows about an engine when it becomes its owner. */
 export interface TakeoverState {
+  /** Fencing token of the claim. */
   readonly fence: number;
+  /** Identifies the process of the engine that accepted the claim; it changes when the engine restarts. */
   readonly incarnation: string;
   /**
-   * Report of the engine, taken before or after the claim. Generations of earlier owners may still be
-   * running.
+   * Report of the engine, fetched before the claim. It has another incarnation if the engine restarted in
+   * between. Generations of earlier owners may still be running.
    */
   readonly report: EngineReport;
 }
@@ -40,7 +42,7 @@
   readonly onLost: (reason: string) => void;
 }
 
-/** Fences are at least the number of seconds since this time. */
+/** A fence (fencing token) is at least the number of seconds since this time. */
 const FENCE_EPOCH_MS = Date.UTC(2026, 0, 1);
 
 /**
@@ -76,10 +78,12 @@
     this.#wake.notify();
   }
 
+  /** Fence to be sent with each order and request while the engine is held. */
   get fence(): number {
     return this.#fence;
   }
 
+  /** Identifies the process of the engine that accepted the last claim; empty before the first claim. */
   get incarnation(): string {
     return this.#incarnation;
   }
--- a/packages/ownership/src/ownership-manager.ts
+++ b/packages/ownership/src/ownership-manager.ts
@@ -75,6 +75,7 @@
     return this.#owned.get(engineId);
   }
 
+  /** The engines that this node owns now. */
   owned(): readonly EngineOwnership[] {
     return [...this.#owned.values()].filter((ownership) => ownership.held);
   }
@@ -127,10 +128,12 @@
     return { done: true };
   }
 
+  /** Handles a peer's request for a lease, or for its renewal, from this node as a witness. */
   handleGrant(params: z.infer<typeof grantParams>): z.infer<typeof booleanAnswer> {
     return { done: this.#witnessTable.grant(params.engineId, params.holder, params.leaseMs) };
   }
 
+  /** Handles a peer's release of a lease that this node granted as a witness. */
   handleUngrant(params: z.infer<typeof ungrantParams>): z.infer<typeof booleanAnswer> {
     this.#witnessTable.release(params.engineId, params.holder);
     return { done: true };
--- a/packages/serving/src/backend-list-updater.ts
+++ b/packages/serving/src/backend-list-updater.ts
@@ -49,6 +49,7 @@
  */
 export class BackendListUpdater {
   readonly #options: BackendListUpdaterOptions;
+  /** When the store last answered after entries of running backends may have expired. */
   #storeBackMs = -Infinity;
   /**
    * Until this time, a first read may find entries as restored from the backup; later reads find only running
--- a/packages/serving/src/fleet-state.ts
+++ b/packages/serving/src/fleet-state.ts
@@ -14,6 +14,7 @@
 import { RouteTable } from './route-table.js';
 import { SetDigest } from './set-digest.js';
 
+/** The part of the published state that has changed. */
 export type FleetChange = 'configuration' | 'adapter-version' | 'backends';
 
 type ChangeListener = (change: FleetChange) => void;
@@ -168,6 +169,7 @@
     return this.#routes?.configuration.version ?? 0;
   }
 
+  /** Revision as of which the list of backends is complete; 0 until it is known in this era. */
   get backendsRevision(): number {
     return this.#backendsRevision;
   }
@@ -270,6 +272,7 @@
     return true;
   }
 
+  /** Applies a published version if it is newer than the known one. Returns whether it was applied. */
   applyAdapterVersion(published: AdapterVersion): boolean {
     if (published.version <= this.adapterVersion(published.model, published.adapter)) return false;
     const key = adapterKey(published.model, published.adapter);
@@ -279,12 +282,14 @@
     return true;
   }
 
+  /** Applies an entry of the list if it is newer than what is known of the backend. */
   applyBackend(revision: number, value: BackendDescription): void {
     if (!this.#isNewer({ revision, value })) return;
     this.#storeEntry({ revision, value });
     this.#updateIndex(revision);
   }
 
+  /** Removes a backend as of `revision`, unless its entry is newer. */
   removeBackend(revision: number, id: string): void {
     const known = this.#backends.get(id);
     if (known !== undefined && known.revision >= revision) return;
--- a/packages/serving/src/set-digest.ts
+++ b/packages/serving/src/set-digest.ts
@@ -1,5 +1,6 @@
 import { createHash } from 'node:crypto';
 
+/** Most that `readUIntBE` can read. A number holds the sum of two such hashes exactly. */
 const HASH_BYTES = 6;
 const MODULUS = 2 ** (8 * HASH_BYTES);
 
--- a/packages/serving/src/tenants.ts
+++ b/packages/serving/src/tenants.ts
@@ -15,7 +15,7 @@
   readonly name: string;
   /** Secret keys that identify the tenant in requests; never logged. */
   readonly keys: readonly string[];
-  /** Overrides the priority of the route; undefined to keep that. */
+  /** Overrides the priority of the route; undefined to keep the route's. */
   readonly priority: number | undefined;
   /** Undefined for no limit. */
   readonly quota: TenantQuota | undefined;
