--- a/packages/node/src/control/engine-fleet.ts
+++ b/packages/node/src/control/engine-fleet.ts
@@ -28,7 +28,9 @@
   readonly member: (id: string) => Member | undefined;
   readonly isLeaving: (machine: string | undefined) => boolean;
   readonly newClient: (engine: EngineDefinition) => EngineClient;
+  /** Resolves when an adapter load may start; with undefined if it is aborted first. */
   readonly acquireLoad: (request: LoadGrantRequest, signal: AbortSignal) => Promise<LoadGrant | undefined>;
+  /** Publishes a record to all nodes, in place of the one published under the same key before. */
   readonly publish: (key: string, value: EngineRecord) => void;
 }
 
@@ -42,6 +44,7 @@
 
 /** Changes of an engine within this time are published together. */
 const PUBLISH_DELAY_MS = 250;
+/** Durations of a load and a generation that are assumed before any was measured. */
 const INITIAL_LOAD_SECONDS = 1;
 const INITIAL_SERVICE_SECONDS = 2;
 /** Weight of the latest value in the moving averages of load and service times. */
@@ -119,6 +122,7 @@
 
   // --- ownership events --------------------------------------------------------------------------
 
+  /** Called when this node has become the owner of an engine. */
   onHeld(ownership: EngineOwnership, state: TakeoverState): void {
     const { engine } = ownership;
     let scheduler = this.#schedulers.get(engine.id);
@@ -130,11 +134,13 @@
     this.#publishNow(engine.id);
   }
 
+  /** Called when this node no longer owns an engine. */
   onLost(ownership: EngineOwnership): void {
     this.#schedulers.get(ownership.engine.id)?.relinquish();
     this.#publishNow(ownership.engine.id);
   }
 
+  /** Whether this node has to claim an engine that it owns again, under a higher fence. */
   wantsNewFence(engineId: string): boolean {
     return this.#schedulers.get(engineId)?.wantsNewFence === true;
   }
@@ -271,6 +277,7 @@
   #record(engineId: string): EngineRecord {
     const scheduler = this.schedulerOf(engineId);
     const fence = this.#ownership?.get(engineId)?.fence ?? 0;
+    // Fence 0 withdraws the record of an engine that this node no longer owns.
     if (scheduler === undefined) return [0, 0, 0, 0, []];
     const { maxBatch } = scheduler.engine;
     const { metrics } = this.#options.telemetry;
--- a/packages/node/src/control/remote-engines.ts
+++ b/packages/node/src/control/remote-engines.ts
@@ -4,8 +4,8 @@
 import * as z from 'zod';
 
 /**
- * Record that an engine's owner publishes: [fence, running, queued, reclaimable slots, hashes of loaded
- * adapters].
+ * Record that an engine's owner publishes: [fence, running, queued, reclaimable, hashes of loaded adapters].
+ * `reclaimable` is 1 if any slot is empty or idle, else 0.
  */
 const engineRecord = z.tuple([z.number(), z.number(), z.number(), z.number(), z.array(z.number()).max(4096)]);
 export type EngineRecord = z.infer<typeof engineRecord>;
--- a/packages/node/src/http/caller-server.ts
+++ b/packages/node/src/http/caller-server.ts
@@ -18,7 +18,8 @@
 type Listener = (request: IncomingMessage, response: ServerResponse) => void;
 
 /**
- * HTTP listener for callers. Generation, service and stream requests bypass Hono, which handles all others.
+ * HTTP listener for callers. Generation, service and stream requests bypass Hono, because its web streams
+ * cost too much (see {@link handleExchange}); Hono handles all others.
  */
 export function callerListener(options: CallerServerOptions): Listener {
   const app = callerApplication(options);
--- a/packages/node/src/http/exchange.ts
+++ b/packages/node/src/http/exchange.ts
@@ -19,9 +19,9 @@
   handler: Handler,
   onBreak: BreakStyle = 'tell',
 ): Promise<void> {
-  const gone = new AbortController();
+  const disconnected = new AbortController();
   response.on('close', () => {
-    if (!response.writableFinished) gone.abort();
+    if (!response.writableFinished) disconnected.abort();
   });
   const body = await readBody(request, bodyLimit);
   if (body.isErr()) {
@@ -36,5 +36,5 @@
     body: body.value,
   };
   const sink = new ResponseSink(response, onBreak);
-  sink.finish(await handler(inbound, sink, gone.signal));
+  sink.finish(await handler(inbound, sink, disconnected.signal));
 }
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -62,6 +62,10 @@
   readonly revisionStore?: RevisionStore;
 }
 
+/**
+ * `starting` until a configuration is in force, then `ready`; `draining` while the node is leaving but still
+ * accepts requests; `closed` when it refuses new ones.
+ */
 export type NodeState = 'starting' | 'ready' | 'draining' | 'closed';
 
 /** Number of nodes per zone that watch the configuration service; the others follow these. */
@@ -116,6 +120,7 @@
     const common = { budget, clock, random, telemetry };
     this.requests = new RequestService({
       index: () => this.follower.store.index,
+      // Share 1: each node enforces the whole limit of a caller.
       limits: new CallerLimits(clock, () => 1),
       generations: new GenerationRouter({
         ...common,
@@ -208,6 +213,7 @@
     while (!this.#isIdle() && clock.now() - startedAtMs < limitMs) await clock.sleep(DRAIN_CHECK_MS);
     this.ownership.stop();
     this.membership.leave();
+    // Leaves time to send the announcement before `kill` closes the transport.
     await clock.sleep(DRAIN_CHECK_MS);
     this.kill();
   }
--- a/packages/node/src/requests/generation-router.ts
+++ b/packages/node/src/requests/generation-router.ts
@@ -58,6 +58,7 @@
 const RETRY_BACKOFF = { initialMs: 40, maximumMs: 500 } as const;
 /** How long to wait for a usable engine, for example while ownership of one is transferred. */
 const ENGINE_WAIT_MS = 12_000;
+/** Includes the rounds in which no usable engine was found. */
 const MAX_ATTEMPTS = 40;
 const RESUME_ATTEMPTS = 4;
 const RESUME_BACKOFF = { initialMs: 50, maximumMs: 1000 } as const;
@@ -91,6 +92,8 @@
       if (clock.now() >= options.deadlineAtMs) return refused(problem('deadline-passed', executed));
       const choice = this.#options.fleet.choose(generation.model, excluded);
       if (choice === undefined) {
+        // If no engine is excluded, waits for a usable one for up to ENGINE_WAIT_MS. If all have refused, they
+        // are tried again: in the first rounds only, except where the last refusal was that the owner changed.
         if (excluded.size === 0 && clock.now() - startedAtMs > ENGINE_WAIT_MS) break;
         if (excluded.size > 0 && lastCode !== 'not-owner' && attempt > 2) break;
         excluded.clear();
--- a/packages/node/src/requests/key-protocol.ts
+++ b/packages/node/src/requests/key-protocol.ts
@@ -36,7 +36,8 @@
 
 /**
  * What to do with a keyed request: run it and report the outcome with `settle`, answer with the outcome of an
- * earlier run, or refuse it because no more keys can be stored.
+ * earlier run, or refuse it because no more keys can be stored. `remember` says whether the outcome is stored
+ * for later requests with the key; by default it is unless the request was not executed.
  */
 export type KeyDecision =
   | { readonly kind: 'run'; settle(outcome: KeyOutcome, remember?: boolean): void }
@@ -49,6 +50,7 @@
 }
 
 const CALL_TIMEOUT_MS = 2000;
+/** Longer, because the peer answers only when the request has ended. */
 const OUTCOME_TIMEOUT_MS = 60_000;
 const UNKNOWN: OutcomeDecision = { kind: 'outcome', outcome: { kind: 'unknown' } };
 
--- a/packages/node/src/requests/service-router.ts
+++ b/packages/node/src/requests/service-router.ts
@@ -38,6 +38,7 @@
   failingUntilMs: number;
 }
 
+/** How long a back end is treated as failing after a failed call. */
 const FAILURE_PENALTY_MS = 2000;
 const RETRY_BACKOFF = { initialMs: 30, maximumMs: 300 } as const;
 const FORWARDED_HEADERS = ['content-type', 'accept', 'idempotency-key'] as const;
--- a/packages/node/src/requests/stream-tokens.ts
+++ b/packages/node/src/requests/stream-tokens.ts
@@ -7,6 +7,7 @@
   readonly caller: string;
 }
 
+/** Length to which the HMAC is truncated. */
 const MAC_BYTES = 12;
 
 /**
--- a/packages/node/src/scheduling/adapter-loader.ts
+++ b/packages/node/src/scheduling/adapter-loader.ts
@@ -32,6 +32,7 @@
 /** After waiting this long for a free slot, a load makes the slot in least demand drain. */
 const DRAIN_PATIENCE_MS = 400;
 const LOAD_ATTEMPTS = 3;
+/** Pause before the second attempt of a load; twice as long before the third. */
 const LOAD_RETRY_MS = 300;
 const IDLE_CHECK_MS = 100;
 
@@ -46,6 +47,7 @@
     this.#clock = options.clock;
   }
 
+  /** Number of loads in progress. */
   get active(): number {
     return this.#tasks.size;
   }
--- a/packages/node/src/scheduling/engine-scheduler.ts
+++ b/packages/node/src/scheduling/engine-scheduler.ts
@@ -15,6 +15,7 @@
 import { SlotSet } from './slot-set.js';
 import { TicketQueue, type Ticket, type WaitOutcome } from './ticket-queue.js';
 
+/** Half-life of the counters that estimate the demand for each adapter. */
 const DEMAND_HALF_LIFE_MS = 30_000;
 const REPORT_PERIOD_MS = 700;
 /** Pause before pinned adapters are loaded again after a failed load. */
@@ -77,6 +78,7 @@
     return this.#queue.length;
   }
 
+  /** Number of slots that are empty or idle, so that another adapter can be loaded into them. */
   get reclaimableSlots(): number {
     return this.#slots.reclaimable;
   }
--- a/packages/node/src/scheduling/load-grants.ts
+++ b/packages/node/src/scheduling/load-grants.ts
@@ -36,6 +36,7 @@
  * The coordinator answers a waiting call after this time; the peer calls again if it still needs the grant.
  */
 const POLL_MS = 4000;
+/** Added to POLL_MS for the timeout of a call that asks for a grant; alone, that of one that returns it. */
 const CALL_MARGIN_MS = 1500;
 /** How long the local budget is used after a failed call to the coordinator. */
 const FALLBACK_MS = 5000;
@@ -51,6 +52,7 @@
   readonly #options: LoadGrantsOptions;
   readonly #coordinatorQueue: LoadQueue;
   readonly #fallbackQueue: LoadQueue;
+  /** By the id that a peer gave its request: requests that wait for a grant or hold one. */
   readonly #peerRequests = new Map<
     string,
     { readonly abort: AbortController; grant: LoadGrant | undefined }
@@ -144,7 +146,7 @@
 
   #scaledLimits(share: number): { loadsPerSecond: number; concurrency: number } {
     const { loadsPerSecond, concurrency } = this.#options.limits();
-    const minShare = 0.01;
+    const minShare = 0.01; // above 0, so that loads are never stopped altogether
     const bounded = Math.min(1, Math.max(minShare, share));
     return {
       loadsPerSecond: loadsPerSecond * bounded,
--- a/packages/node/src/scheduling/ticket-queue.ts
+++ b/packages/node/src/scheduling/ticket-queue.ts
@@ -33,7 +33,9 @@
 export class TicketQueue {
   readonly #clock: Clock;
   readonly #byKey = new Map<string, Ticket[]>();
+  /** Start tag of each caller's next request, unless the virtual time has passed it. */
   readonly #callerTags = new Map<string, number>();
+  /** Highest start tag of the requests taken so far. */
   #virtualTime = 0;
   #length = 0;
 
@@ -71,6 +73,7 @@
     this.#length += 1;
   }
 
+  /** Returns false if the request is not queued any more. */
   remove(ticket: Ticket): boolean {
     const queue = this.#byKey.get(ticket.key);
     const index = queue?.indexOf(ticket) ?? -1;
