--- a/packages/cli/src/admin-client.ts
+++ b/packages/cli/src/admin-client.ts
@@ -24,10 +24,12 @@
     return new AdminClient(url, this.#key);
   }
 
+  /** Requests `path` below `/admin`. The response is not checked against `T`. */
   get<T>(path: string): Promise<Result<T, AdminError>> {
     return this.#call<T>('GET', path, undefined);
   }
 
+  /** Posts `body` as JSON to `path` below `/admin`. The response is not checked against `T`. */
   post<T>(path: string, body: unknown): Promise<Result<T, AdminError>> {
     return this.#call<T>('POST', path, JSON.stringify(body));
   }
--- a/packages/cli/src/chrome-trace.ts
+++ b/packages/cli/src/chrome-trace.ts
@@ -3,11 +3,14 @@
 /** An event in the Trace Event Format, which Chrome and Perfetto read. Times are in microseconds. */
 interface TraceEvent {
   readonly name: string;
+  /** Phase: `X` is an event with a duration, `i` an instant, `M` metadata such as a process's name. */
   readonly ph: 'X' | 'i' | 'M';
   readonly pid: number;
   readonly tid: number;
   readonly ts: number;
+  /** Duration. */
   readonly dur?: number;
+  /** Scope of an instant: `p` draws it over all threads of the process. */
   readonly s?: 'p';
   readonly args: Readonly<Record<string, string>>;
 }
--- a/packages/cli/src/commands/plan.ts
+++ b/packages/cli/src/commands/plan.ts
@@ -34,9 +34,10 @@
   },
 };
 
-/** A plan, computed from the status that all nodes reported at one time. */
+/** A plan, computed from the configuration of one node and the status of all nodes that could be reached. */
 export interface PlannedChange {
   readonly plan: Plan;
+  /** The configuration that the plan starts from. */
   readonly inForce: ConfigurationInForce;
   /** Nodes that apply another revision than the one planned against. */
   readonly disagreeing: readonly string[];
--- a/packages/domain/src/configuration.ts
+++ b/packages/domain/src/configuration.ts
@@ -27,8 +27,11 @@
   url,
   base: name,
   zone: name,
+  /** Id of the engine's machine in the machine list. */
   machine: name.optional(),
+  /** Number of adapters that the engine can hold at one time. */
   slots: z.int().min(1).max(1024),
+  /** Number of requests that the engine runs at one time. */
   maxBatch: z.int().min(1).max(4096),
   /**
    * Whether the engine refuses orders and requests whose fence (fencing token) is lower than its current one.
@@ -38,6 +41,7 @@
 
 const serviceDefinition = z.strictObject({
   name,
+  /** `machine` is the id of the back end's machine in the machine list. */
   backEnds: z.array(z.strictObject({ url, zone: name, machine: name.optional() })).min(1),
   /** Calls that may be run at most once; a path also covers all paths below it. */
   notRepeatable: z
@@ -83,9 +87,11 @@
    * engines, so that they stall less. Waits for adapter loads count fully in either case.
    */
   stallWeight: z.number().min(0).max(1).default(0.5),
+  /** Limits of the loads from the weight store, over all nodes together. */
   weightStoreLoadsPerSecond: z.number().positive().default(2),
   weightStoreConcurrency: z.int().min(1).default(2),
   queueLimitPerEngine: z.int().min(1).default(512),
+  /** How long callers may use a directory response. */
   directoryTtlSeconds: z.number().min(1).default(5),
   maxBodyBytes: z.int().min(1024).default(1_048_576),
   defaultDeadlineMs: z.int().min(100).default(60_000),
--- a/packages/domain/src/ports/engine-client.ts
+++ b/packages/domain/src/ports/engine-client.ts
@@ -112,6 +112,7 @@
     sink: StreamSink,
     signal: AbortSignal,
   ): ResultAsync<GenerationEnd, EngineError>;
+  /** Sends an order; resolves with the engine's reply once it has been executed or refused. */
   order(fence: number, order: EngineOrder, signal?: AbortSignal): ResultAsync<EngineOrderReply, EngineError>;
   report(): ResultAsync<EngineReport, EngineError>;
 }
--- a/packages/http-bindings/src/http-agent.ts
+++ b/packages/http-bindings/src/http-agent.ts
@@ -5,8 +5,8 @@
 const KEEP_ALIVE_MS = 15_000;
 
 /**
- * Creates the connection pools for one kind of back end. Header and body timeouts are off, since each request
- * has a deadline of its own.
+ * Creates an HTTP agent with a connection pool for each origin. Header and body timeouts are off, since each
+ * request has a deadline of its own.
  */
 export function newHttpAgent(): Agent {
   return new Agent({
--- a/packages/http-bindings/src/http-forward-client.ts
+++ b/packages/http-bindings/src/http-forward-client.ts
@@ -11,6 +11,7 @@
   readonly requestId: string;
   readonly caller: string;
   readonly priority: number;
+  /** Time left until the request's deadline, in milliseconds. */
   readonly deadlineMs: number;
   readonly model: string;
   readonly onDisconnect: EngineRequest['onDisconnect'];
--- a/packages/load/src/deployments/deployments.ts
+++ b/packages/load/src/deployments/deployments.ts
@@ -22,7 +22,9 @@
   readonly name: string;
   readonly zones: readonly string[];
   readonly nodes: number;
+  /** Number of engines, each on a machine of its own. */
   readonly runners: number;
+  /** Number of back ends of the service. */
   readonly services: number;
   readonly serviceName: string;
   readonly atMostOncePath: string;
@@ -68,6 +70,7 @@
 const SLOTS = 8;
 const MAX_BATCH = 16;
 const LOAD_MS = 700;
+/** Number of adapters in a group. */
 const GROUP_SIZE = 25;
 const PRIORITIES = ['interactive', 'standard', 'batch'] as const;
 /** Every third engine does not check fences, so that each deployment has both kinds. */
--- a/packages/load/src/faults/injector.ts
+++ b/packages/load/src/faults/injector.ts
@@ -17,6 +17,7 @@
   popularityShift: number;
 }
 
+/** How long a node that is stopped as planned still accepts requests. */
 const LINGER_MS = 3000;
 const STOP_TIMEOUT_MS = 60_000;
 const RESTART_DELAY_MS = 2000;
--- a/packages/load/src/scale/hollow-run.ts
+++ b/packages/load/src/scale/hollow-run.ts
@@ -38,6 +38,7 @@
 
 const ZONES = 4;
 const REGIONS = 2;
+/** Time until the fleet has settled after its start; measurements begin then. */
 const SETTLE_MS = 45_000;
 const CRASHES = 3;
 const CRASH_TIMEOUT_MS = 25_000;
--- a/packages/settings/src/command-line.ts
+++ b/packages/settings/src/command-line.ts
@@ -17,6 +17,7 @@
   readonly help: string;
   readonly short?: string;
   readonly default?: string | boolean;
+  /** Name of the value in the help text; `VALUE` by default. */
   readonly placeholder?: string;
 }
 
@@ -38,7 +39,9 @@
 export interface CommandDefinition {
   readonly name: string;
   readonly summary: string;
+  /** Names of the positional arguments in the help text. */
   readonly positionals?: string;
+  /** Number of positional arguments that are accepted; 0 by default. */
   readonly maximumPositionals?: number;
   readonly options: Readonly<Record<string, OptionDefinition>>;
   run(input: CommandInput): ExitCodePromise;
--- a/packages/standin/src/engine/engine-emulator.ts
+++ b/packages/standin/src/engine/engine-emulator.ts
@@ -50,6 +50,7 @@
   #sequences = new Map<string, Sequence>();
   #waiting: Sequence[] = [];
   #running: Sequence[] = [];
+  /** Adapters that got a request since they were loaded, to count the loads that served none. */
   #usedAdapters = new Set<string>();
   #fence = 0;
   #holder = '';
@@ -111,6 +112,7 @@
     return this.#sequences.get(requestId);
   }
 
+  /** Returns false if the generation is unknown or has ended. */
   cancel(requestId: string): boolean {
     const sequence = this.#sequences.get(requestId);
     if (sequence === undefined || sequence.state === 'done') return false;
--- a/packages/standin/src/engine/engine-record.ts
+++ b/packages/standin/src/engine/engine-record.ts
@@ -16,10 +16,13 @@
   unloads = 0;
   /** Number of adapters that were unloaded before any request used them. */
   wastedLoads = 0;
+  /** Number of generation requests that were refused for a stale fence. */
   staleRefusals = 0;
+  /** Number of steps of the batch, each of which produces up to one token for each sequence. */
   steps = 0;
   /** Number of sequences in the batch, summed over all steps. */
   sequenceSteps = 0;
+  /** Total duration of all steps. */
   busyMs = 0;
 
   /** Mean fraction of the batch in use, over the steps of the engine. */
--- a/packages/standin/src/engine/sequence.ts
+++ b/packages/standin/src/engine/sequence.ts
@@ -14,6 +14,7 @@
   readonly promptHash: number;
   readonly totalTokens: number;
   readonly priority: number;
+  /** Hashes of the prompt's blocks, under which the prefix cache stores them. */
   readonly blocks: readonly number[];
   /** Number of prompt tokens that still have to be processed. */
   remainingPrefillTokens: number;
--- a/packages/standin/src/engine/slot-table.ts
+++ b/packages/standin/src/engine/slot-table.ts
@@ -1,6 +1,7 @@
 /** State of one adapter slot. */
 interface Slot {
   state: 'loading' | 'loaded';
+  /** Number of waiting and running generations. */
   running: number;
 }
 
--- a/packages/telemetry/src/event-logger.ts
+++ b/packages/telemetry/src/event-logger.ts
@@ -5,6 +5,7 @@
 
 export type LogLevel = 'error' | 'warn' | 'info' | 'debug';
 
+/** Numbers of the levels in consola, in which 2 is `log`. */
 const LEVEL_NUMBERS: Readonly<Record<LogLevel, number>> = { error: 0, warn: 1, info: 3, debug: 4 };
 const PLAIN_VALUE = /^[\w.:/@%+-]+$/;
 
--- a/packages/telemetry/src/line-sink.ts
+++ b/packages/telemetry/src/line-sink.ts
@@ -2,8 +2,8 @@
 import type { LineCategory } from './event-logger.js';
 
 /**
- * Lines are batched for this long, since each write wakes a thread of the pool. A process that is killed
- * loses the lines of about this time, and more if a write is slow or has to be retried.
+ * Lines are batched for this long, since each write wakes a thread of libuv's thread pool. A process that is
+ * killed loses the lines of about this time, and more if a write is slow or has to be retried.
  */
 const FLUSH_AFTER_MS = 200;
 const DROP_REPORT_INTERVAL_MS = 5000;
--- a/packages/telemetry/src/telemetry.ts
+++ b/packages/telemetry/src/telemetry.ts
@@ -36,7 +36,10 @@
     this.ring.record({ atMs: this.#clock.wallTime(), name, subject, detail });
   }
 
-  /** Adds a step of a request to the timeline without logging it. */
+  /**
+   * Adds a step of a request to the timeline without logging it. `startedAtMs` is its start in wall time, for
+   * the duration; a step without it is an event of this moment.
+   */
   step(name: string, requestId: string, subject: string, startedAtMs?: number): void {
     const nowMs = this.#clock.wallTime();
     const event: TimelineEvent =
