--- a/packages/load/src/bench/decision-cost.ts
+++ b/packages/load/src/bench/decision-cost.ts
@@ -45,6 +45,7 @@
   const names = index.configuration.adapters.map((adapter) => `${adapter.base}:${adapter.name}@v1`);
   const decide = (count: number): void => {
     for (let iteration = 0; iteration < count; iteration += 1) {
+      // The step is a prime number, so that all adapters are used and successive ones are far apart.
       const model = index.resolveModel(names[(iteration * 7919) % names.length] ?? '');
       if (model.isOk()) fleet.choose(model.value, NO_EXCLUSIONS);
     }
@@ -81,6 +82,7 @@
       const adapter = (position + slot * ENGINES) % ADAPTERS;
       return hash32(`adapter-${adapter}@v1`);
     });
+    // Fence, running, queued, reclaimable, hashes of the loaded adapters.
     const value = [1, position % 32, 0, 1, loaded];
     fleet.remoteEngines.update({
       owner: `node-${1 + (position % (NODES - 1))}`,
--- a/packages/load/src/bench/load-worker.ts
+++ b/packages/load/src/bench/load-worker.ts
@@ -66,7 +66,7 @@
       if (end.kind !== 'answered') failed += 1;
       else if (performance.now() < untilMs) {
         completed += 1;
-        tokens += events - 1;
+        tokens += events - 1; // the last event is `[DONE]`
         firstByteMs.push(first);
       }
       if (job.pauseMs > 0) await new Promise((resolve) => setTimeout(resolve, job.pauseMs));
--- a/packages/load/src/bench/pass-through.ts
+++ b/packages/load/src/bench/pass-through.ts
@@ -5,7 +5,8 @@
 /**
  * Baseline of the benchmark: a minimal proxy with hono and undici, without queues, limits, adapters or
  * ownership.
- * Run as `pass-through.js ENGINE_URL...`; prints its URL as one line of JSON.
+ * Run as `pass-through.js ENGINE_URL...`; prints its URL as one line of JSON. A request names its engine by
+ * the index of the URL, in the header `x-engine`.
  */
 const engines = process.argv.slice(2);
 const agent = new Agent({ connections: 1024 });
--- a/packages/load/src/callers/call.ts
+++ b/packages/load/src/callers/call.ts
@@ -3,7 +3,10 @@
 /** A request that a caller makes, possibly in several attempts. */
 export interface Call {
   readonly id: string;
-  /** The `-once` kinds must not be executed more than once. */
+  /**
+   * `stream` and `whole` are generations with and without streaming. The `-once` kinds must not be executed
+   * more than once.
+   */
   readonly kind: 'stream' | 'whole' | 'service' | 'service-once' | 'generation-once';
   /** Model name, or the path of a service call. */
   readonly target: string;
@@ -25,6 +28,7 @@
 /** Outcome of a call for its caller. */
 export interface CallResult {
   readonly call: Call;
+  /** `lost`: no complete response, no refusal and no stated "unknown". */
   readonly outcome: 'completed' | 'refused' | 'unknown' | 'lost';
   readonly attempts: readonly CallAttempt[];
   /** Whether the response named another model than the one requested. */
--- a/packages/load/src/callers/evaluation.ts
+++ b/packages/load/src/callers/evaluation.ts
@@ -22,6 +22,7 @@
   readonly unloadedWhileRunning: number;
   readonly loadStallSecondsPerRequest: number;
   readonly batchEfficiency: number;
+  /** Quantiles of the time to the first token of completed calls. */
   readonly ttftMsP50: number;
   readonly ttftMsP95: number;
 }
--- a/packages/load/src/faults/disabled-safeguards.ts
+++ b/packages/load/src/faults/disabled-safeguards.ts
@@ -43,6 +43,7 @@
     promise: 'never-unload-serving',
     description:
       'leases on engines that do not check fences are assumed to last ten times as long, and orders never to arrive late',
+    // A node assumes that a lease lasts (1 - maxClockDrift) times its length.
     overrides: { ownershipTiming: { maxClockDrift: -9, orderTimeoutMs: 0 } },
     faults: ['pause-node', 'pause-node', 'pause-node', 'popularity-jump', 'popularity-jump'],
     requestsPerSecond: 40,
--- a/packages/load/src/faults/schedule.ts
+++ b/packages/load/src/faults/schedule.ts
@@ -34,10 +34,7 @@
 
 export type FaultKind = (typeof FAULT_KINDS)[number];
 
-/**
- * Faults start within this window, and no other starts later. Those that can be undone are undone after their
- * duration.
- */
+/** Faults start within this window. Those that can be undone are undone after their duration. */
 export const FAULT_WINDOW = { fromMs: 10_000, untilMs: 30_000 } as const;
 export const TRAFFIC_UNTIL_MS = 36_000;
 export const RUN_END_MS = 90_000;
--- a/packages/load/src/processes/deployment.ts
+++ b/packages/load/src/processes/deployment.ts
@@ -35,6 +35,7 @@
     readonly loadMs: number;
   };
   readonly machineListLagMs: number;
+  /** How long a stopping node still accepts requests. */
   readonly lingerSeconds: number;
   /** Runs each engine in its own process, where a single process would be the bottleneck of a measurement. */
   readonly separateEngineProcesses?: boolean;
@@ -56,6 +57,7 @@
 export class Deployment {
   readonly plan: DeploymentPlan;
   readonly nodes = new Map<string, LaunchedProcess>();
+  /** Folder of the settings and logs of all processes. */
   readonly directory: string;
   #standin: LaunchedProcess | undefined;
   readonly #engineProcesses: LaunchedProcess[] = [];
@@ -115,6 +117,7 @@
     await this.fault({ machineListLagMs: this.plan.machineListLagMs });
   }
 
+  /** Changes faults and lags of the emulator. */
   async fault(fault: FaultChange): Promise<void> {
     await this.#post(`${this.platformUrl}/operator/faults`, fault);
   }
@@ -158,6 +161,7 @@
     return (await this.#get(`${this.platformUrl}/records`)) as StandinRecords;
   }
 
+  /** Status of a node; undefined if it was not started or does not respond. */
   async status(id: string): Promise<NodeStatus | undefined> {
     const node = this.nodes.get(id);
     if (node === undefined) return undefined;
--- a/packages/load/src/scale/hollow-run.ts
+++ b/packages/load/src/scale/hollow-run.ts
@@ -162,6 +162,7 @@
     const engine = random.pick(owner?.node.ownership.owned() ?? []);
     if (owner !== undefined && engine !== undefined) {
       const loaded = Array.from({ length: 8 }, () => random.integer(2 ** 31 - 1));
+      // Fence, running, queued, reclaimable, hashes of the loaded adapters.
       const record = [engine.fence, random.integer(4) * 8, 0, 1, loaded];
       owner.node.membership.publish(`e/${engine.engine.id}`, record);
     }
--- a/packages/load/src/simulation/fleet.ts
+++ b/packages/load/src/simulation/fleet.ts
@@ -41,6 +41,7 @@
   readonly machines?: (machines: NodePorts['machines']) => NodePorts['machines'];
   readonly ownershipTiming?: Partial<OwnershipTiming>;
   readonly revisionStore?: () => RevisionStore;
+  /** False: no emulated engine checks fences, whatever the configuration says. */
   readonly enginesCheckFences?: boolean;
 }
 
--- a/packages/load/src/simulation/network.ts
+++ b/packages/load/src/simulation/network.ts
@@ -33,6 +33,7 @@
     this.behaviour = behaviour;
   }
 
+  /** @param rate speed of the host's clock relative to virtual time */
   createHost(name: string, rate = 1): Host {
     return { name, clock: new HostClock(this.clock, rate) };
   }
--- a/packages/load/src/simulation/peer-ports.ts
+++ b/packages/load/src/simulation/peer-ports.ts
@@ -189,17 +189,17 @@
   ): Promise<Result<{ readonly lastEventId: number }, ForwardError>> {
     const target = this.#peers.findByPeerUrl(request.peerUrl);
     if (target === undefined) return err({ kind: 'unreachable', detail: 'no process' });
-    const follower = new EventIdTracker(sink);
+    const tracker = new EventIdTracker(sink);
     const outcome = await runRequest(
       this.#network,
       this.#host,
       target,
       (remote, disconnected) =>
         target.node.forwardHandler.handle(toInboundRequest(request), remote, disconnected),
-      follower,
+      tracker,
       signal,
     );
-    const { started, lastEventId } = follower;
+    const { started, lastEventId } = tracker;
     if ('failed' in outcome) {
       if (!outcome.sent) return err({ kind: 'unreachable', detail: 'simulated' });
       return err({ kind: 'broken', started, lastEventId, detail: 'simulated' });
--- a/packages/node/src/requests/generation-router.ts
+++ b/packages/node/src/requests/generation-router.ts
@@ -92,8 +92,8 @@
       if (clock.now() >= options.deadlineAtMs) return refused(problem('deadline-passed', executed));
       const choice = this.#options.fleet.choose(generation.model, excluded);
       if (choice === undefined) {
-        // If no engine is excluded, waits for a usable one for up to ENGINE_WAIT_MS. If all have refused, they
-        // are tried again: in the first rounds only, except where the last refusal was that the owner changed.
+        // If no engine is excluded, waits for a usable one for up to ENGINE_WAIT_MS. If all have refused,
+        // they are tried again: in the first rounds only, except where the last refusal was `not-owner`.
         if (excluded.size === 0 && clock.now() - startedAtMs > ENGINE_WAIT_MS) break;
         if (excluded.size > 0 && lastCode !== 'not-owner' && attempt > 2) break;
         excluded.clear();
--- a/packages/node/src/requests/request-service.ts
+++ b/packages/node/src/requests/request-service.ts
@@ -55,6 +55,7 @@
 
 const BEARER = 'Bearer ';
 const MAX_CACHED_KEY_DIGESTS = 10_000;
+/** A larger response to a keyed request is not kept; a repeated request is then refused. */
 const MAX_RECORDED_BODY_BYTES = 65_536;
 const SERVICE_PREFIX = '/services/';
 const STREAM_PREFIX = '/v1/streams/';
--- a/packages/standin/src/service/service-emulator.ts
+++ b/packages/standin/src/service/service-emulator.ts
@@ -3,6 +3,7 @@
 /** One execution of a service call. */
 export interface ServiceExecution {
   readonly requestId: string;
+  /** Idempotency key; empty if the call had none. */
   readonly key: string;
   readonly path: string;
   readonly atMs: number;
