--- a/packages/node/src/requests/key-protocol.ts
+++ b/packages/node/src/requests/key-protocol.ts
@@ -50,7 +50,7 @@
 }
 
 const CALL_TIMEOUT_MS = 2000;
-/** Longer, because the peer answers only when the request has ended. */
+/** Longer than CALL_TIMEOUT_MS, because the peer answers only when the request has ended. */
 const OUTCOME_TIMEOUT_MS = 60_000;
 const UNKNOWN: OutcomeDecision = { kind: 'outcome', outcome: { kind: 'unknown' } };
 
