--- a/packages/gateway/src/cluster/cluster.ts
+++ b/packages/gateway/src/cluster/cluster.ts
@@ -28,8 +28,9 @@
   readonly peerAddress: string;
   /** `IP:port` for callers. */
   readonly frontAddress: string;
+  /** Random value that distinguishes this process from others of the same node before and after it. */
   readonly processToken: string;
-  /** Processor time available to this node, in cores of the usual speed. */
+  /** CPU time that this node may use, in cores of the reference speed. */
   readonly capacity: number;
   readonly transport: DatagramTransport;
   readonly clock: Clock;
@@ -44,7 +45,9 @@
   readonly onQuarantine: () => void;
 }
 
-/** Faster than the defaults, which suit large fleets: a dead leader holds up loads. */
+/**
+ * Faster than the defaults, which suit large fleets: until a dead leader is replaced, no adapters are loaded.
+ */
 const TIMING: MembershipTiming = {
   ...DEFAULT_MEMBERSHIP_TIMING,
   probePeriodMs: 400,
@@ -72,22 +75,27 @@
  * often.
  */
 interface MemberView {
-  /** The membership's lists from which this view was built. */
+  /**
+   * All known members, including dead ones and those that have left. The view is built anew when the
+   * membership returns another array for this or for `present`.
+   */
   readonly known: readonly Member[];
+  /** Members that are alive, suspected to be dead, or leaving. */
   readonly present: readonly Member[];
+  /** Those of them that are alive and not leaving. */
   readonly serving: readonly Member[];
-  /** Names of visible members, without this node. */
+  /** Ids of visible members, without this node. */
   readonly visible: readonly string[];
-  /** Names of members that announced that they are leaving or have left. */
+  /** Ids of members that announced that they are leaving or have left. */
   readonly departed: readonly string[];
   /** By the pool's name: see {@link Cluster.candidates}. */
   readonly candidates: Map<string, readonly string[]>;
 }
 
-/** What a node publishes about requests during which backends failed, by their fingerprints. */
+/** What a node publishes about requests during which backends crashed, by their fingerprints. */
 export interface PublishedQuarantine {
   readonly quarantined: readonly QuarantinedRequest[];
-  /** Requests that are quarantined if another backend fails before one has completed them. */
+  /** Requests that are quarantined if another backend crashes before one has completed them. */
   readonly suspects: readonly string[];
 }
 
@@ -255,7 +263,7 @@
     return claims;
   }
 
-  /** Names of members that report being overloaded. */
+  /** Ids of members that report being overloaded. */
   busy(): ReadonlySet<string> {
     return new Set([...this.#published(peerRecords.busy, BUSY_KEY)].map(({ member }) => member.id));
   }
@@ -321,8 +329,8 @@
   }
 
   /**
-   * Numbers of visible members, without this node, and of members that recently became invisible, for log
-   * lines.
+   * Numbers of visible members, without this node, and of members that were visible recently and no longer
+   * are, for log lines.
    */
   get visibilityCounts(): { readonly visible: number; readonly lost: number } {
     return { visible: this.#visibility.visible.size, lost: this.#visibility.lost.length };
@@ -338,7 +346,7 @@
     return this.#visibility.isolatedMs;
   }
 
-  /** Members that recently became invisible without announcing that they leave. */
+  /** Members that were visible recently, no longer are, and did not announce that they leave. */
   lostMembers(): readonly string[] {
     return this.#visibility.lost;
   }
--- a/packages/gateway/src/cluster/fleet-quotas.ts
+++ b/packages/gateway/src/cluster/fleet-quotas.ts
@@ -14,7 +14,7 @@
 
 /** Asks the home node of some tenants for units of their quotas. */
 export const BORROW_METHOD = 'quota.borrow';
-/** The same for backends that state how many requests they accept from all nodes together. */
+/** The same for backends that announce how many requests they accept from all nodes together. */
 export const RATE_BORROW_METHOD = 'rate-limit.borrow';
 
 /** A kind of quota: what it limits, the name by which home nodes are ranked, and how they are asked. */
@@ -105,8 +105,8 @@
 
 /**
  * Fraction of the tolerance that callers get as a larger burst: requests are large compared with the burst of
- * a small tenant, and refusing one that is within the window helps nobody. The rest covers what nodes lend
- * that do not see one another.
+ * a small tenant, and refusing one that is within the window helps nobody. The rest is for units lent by
+ * several homes at once, while nodes do not see one another.
  */
 const BURST_TOLERANCE_SHARE = 0.5;
 
@@ -144,8 +144,8 @@
 const BORROW_TIMEOUT_MS = 150;
 
 /**
- * Quotas that apply to all nodes together: each group of subjects has a home, the node that ranks first for
- * it.
+ * Quotas that apply to all nodes together. Their subjects, tenants or backends, are divided into groups. Each
+ * group has a home, the node that ranks first for it, from which the other nodes borrow units.
  */
 export class FleetQuotas {
   readonly #options: FleetQuotasOptions;
--- a/packages/gateway/src/cluster/slot-protocol.ts
+++ b/packages/gateway/src/cluster/slot-protocol.ts
@@ -24,7 +24,7 @@
   | { readonly kind: 'queued' }
   | { readonly kind: 'not-leader' };
 
-/** Params of {@link STARTED_METHOD}: engines have started to answer these requests. */
+/** Params of {@link STARTED_METHOD}: engines have started their responses to these requests. */
 export interface StartedParams {
   readonly pool: string;
   readonly requestIds: readonly string[];
@@ -38,6 +38,7 @@
   readonly uses: readonly RunningUse[];
 }
 
+/** Params of {@link RELEASE_METHOD} and {@link CANCEL_METHOD}. */
 export interface ReleaseParams {
   readonly pool: string;
   readonly requestId: string;
@@ -50,13 +51,13 @@
 }
 
 /**
- * Params of {@link RATE_LIMIT_METHOD}: an engine has told the sender how many requests it accepts from all
- * nodes together.
+ * Params of {@link RATE_LIMIT_METHOD}: an engine has announced to the sender how many requests it accepts
+ * from all nodes together.
  */
 export const rateLimitParams = z.object({
   pool: z.string(),
   backendId: z.string(),
-  /** Requests a second; null if the engine no longer states a limit. */
+  /** Requests a second; null if the engine no longer announces a limit. */
   perSecond: z.number().nonnegative().nullable(),
 });
 export type RateLimitParams = z.infer<typeof rateLimitParams>;
--- a/packages/load/src/deployments/deployments.ts
+++ b/packages/load/src/deployments/deployments.ts
@@ -2,7 +2,7 @@
 import { configurationSchema, type Configuration } from '@canvasridge/domain';
 import type { NodeSpec } from '../simulation/fleet.js';
 
-/** Model of one of the users' two deployments, with a chosen number of adapters. */
+/** Model of one of the operators' two deployments, with a chosen number of adapters. */
 export interface DeploymentModel {
   readonly name: string;
   readonly nodes: readonly NodeSpec[];
@@ -17,12 +17,14 @@
   readonly popularityExponent: number;
 }
 
-/** Size and settings of one of the users' deployments. */
+/** Size and settings of one of the operators' deployments. */
 interface DeploymentShape {
   readonly name: string;
   readonly zones: readonly string[];
   readonly nodes: number;
+  /** Number of engines, each on a machine of its own. */
   readonly runners: number;
+  /** Number of back ends of the service. */
   readonly services: number;
   readonly serviceName: string;
   readonly atMostOncePath: string;
@@ -68,6 +70,7 @@
 const SLOTS = 8;
 const MAX_BATCH = 16;
 const LOAD_MS = 700;
+/** Number of adapters in a group. */
 const GROUP_SIZE = 25;
 const PRIORITIES = ['interactive', 'standard', 'batch'] as const;
 /** Every third engine does not check fences, so that each deployment has both kinds. */
--- a/packages/load/src/faults/injector.ts
+++ b/packages/load/src/faults/injector.ts
@@ -17,6 +17,7 @@
   popularityShift: number;
 }
 
+/** How long a node that is stopped as planned still accepts requests. */
 const LINGER_MS = 3000;
 const STOP_TIMEOUT_MS = 60_000;
 const RESTART_DELAY_MS = 2000;
@@ -223,7 +224,9 @@
     this.#fleet.publish(this.#nextConfiguration());
   }
 
-  /** Two operators plan and confirm against the same state; the revision published second has to be rejected. */
+  /**
+   * Two operators plan and confirm against the same state; the revision published second has to be rejected.
+   */
   #raceOperators(): void {
     const base = this.#fleet.headInForce();
     const confirmedAt = this.#fleet.publications;
--- a/packages/load/src/simulation/fleet.ts
+++ b/packages/load/src/simulation/fleet.ts
@@ -41,6 +41,7 @@
   readonly machines?: (machines: NodePorts['machines']) => NodePorts['machines'];
   readonly ownershipTiming?: Partial<OwnershipTiming>;
   readonly revisionStore?: () => RevisionStore;
+  /** False: no emulated engine checks fences, whatever the configuration says. */
   readonly enginesCheckFences?: boolean;
 }
 
@@ -74,8 +75,8 @@
 const PEER_KEY = 'simulated-peer-key';
 
 /**
- * Simulates a whole deployment in one process and in virtual time: the production code of the nodes, bound to a
- * simulated network and to the emulators. The same seed gives the same run.
+ * Simulates a whole deployment in one process and in virtual time: the production code of the nodes, bound to
+ * a simulated network and to the emulators. The same seed gives the same run.
  */
 export class SimulatedFleet {
   readonly clock = new VirtualClock();
@@ -160,8 +161,9 @@
   }
 
   /**
-   * Publishes a configuration as an operator does: planned against the revision in force (`base`), and confirmed
-   * against the version at the configuration service. An older `confirmedAt` emulates an operator who was too slow.
+   * Publishes a configuration as an operator does: planned against the revision in force (`base`), and
+   * confirmed against the version at the configuration service. An older `confirmedAt` emulates an operator
+   * who was too slow.
    */
   publish(
     configuration: Configuration,
--- a/packages/node/src/control/engine-fleet.ts
+++ b/packages/node/src/control/engine-fleet.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@canvasridge/clock';
 import type { ConfigurationIndex, EngineClient, EngineDefinition } from '@canvasridge/domain';
-import { adapterKey, type AdapterRef } from '@canvasridge/domain';
+import { adapterVersionKey, type AdapterRef } from '@canvasridge/domain';
 import type { Member } from '@canvasridge/membership';
 import type {
   EngineOwnership,
@@ -28,7 +28,9 @@
   readonly member: (id: string) => Member | undefined;
   readonly isLeaving: (machine: string | undefined) => boolean;
   readonly newClient: (engine: EngineDefinition) => EngineClient;
+  /** Resolves when an adapter load may start; with undefined if it is aborted first. */
   readonly acquireLoad: (request: LoadGrantRequest, signal: AbortSignal) => Promise<LoadGrant | undefined>;
+  /** Publishes a record to all nodes, in place of the one published under the same key before. */
   readonly publish: (key: string, value: EngineRecord) => void;
 }
 
@@ -42,13 +44,14 @@
 
 /** Changes of an engine within this time are published together. */
 const PUBLISH_DELAY_MS = 250;
+/** Durations of a load and a generation that are assumed before any was measured. */
 const INITIAL_LOAD_SECONDS = 1;
 const INITIAL_SERVICE_SECONDS = 2;
 /** Weight of the latest value in the moving averages of load and service times. */
 const SMOOTHING_FACTOR = 0.1;
 /** How many engines without the adapter are considered for a request, beside those that have or load it. */
 const MAX_CANDIDATES_WITHOUT_ADAPTER = 4;
-/** Published request counts are rounded to this fraction of the batch size. */
+/** Published request counts are rounded to multiples of the batch size divided by this number. */
 const PUBLISHED_LOAD_STEPS = 4;
 
 /** All engines as known to this node: schedulers for those it owns, and published records of the others. */
@@ -119,6 +122,7 @@
 
   // --- ownership events --------------------------------------------------------------------------
 
+  /** Called when this node has become the owner of an engine. */
   onHeld(ownership: EngineOwnership, state: TakeoverState): void {
     const { engine } = ownership;
     let scheduler = this.#schedulers.get(engine.id);
@@ -130,11 +134,13 @@
     this.#publishNow(engine.id);
   }
 
+  /** Called when this node no longer owns an engine. */
   onLost(ownership: EngineOwnership): void {
     this.#schedulers.get(ownership.engine.id)?.relinquish();
     this.#publishNow(ownership.engine.id);
   }
 
+  /** Whether this node has to claim an engine that it owns again, under a higher fence. */
   wantsNewFence(engineId: string): boolean {
     return this.#schedulers.get(engineId)?.wantsNewFence === true;
   }
@@ -150,6 +156,7 @@
     const stallWeight = this.#index?.tuning.stallWeight ?? 0;
     const times = {
       loadSeconds: this.#loadSeconds,
+      // The measured load times already include the wait for a grant.
       loadQueueSeconds: 0,
       serviceSeconds: this.#serviceSeconds,
     };
@@ -176,7 +183,7 @@
   }
 
   #routeCandidates(model: AdapterRef, excluded: ReadonlySet<string>): RouteCandidate[] {
-    const key = adapterKey(model);
+    const key = adapterVersionKey(model);
     const ranked = this.#adapterCandidates?.of(model.base, model.adapter) ?? [];
     const candidates: RouteCandidate[] = [];
     let absent = 0;
@@ -270,6 +277,7 @@
   #record(engineId: string): EngineRecord {
     const scheduler = this.schedulerOf(engineId);
     const fence = this.#ownership?.get(engineId)?.fence ?? 0;
+    // Fence 0 withdraws the record of an engine that this node no longer owns.
     if (scheduler === undefined) return [0, 0, 0, 0, []];
     const { maxBatch } = scheduler.engine;
     const { metrics } = this.#options.telemetry;
@@ -296,7 +304,7 @@
   const pins = new Map<string, string[]>();
   for (const { base, name, versions, pinnedReplicas = 0 } of index.configuration.adapters) {
     if (pinnedReplicas === 0) continue;
-    const key = adapterKey({ adapter: name, version: versions.at(-1) ?? '' });
+    const key = adapterVersionKey({ adapter: name, version: versions.at(-1) ?? '' });
     for (const engine of candidates.of(base, name).slice(0, pinnedReplicas)) {
       pins.set(engine.id, [...(pins.get(engine.id) ?? []), key]);
     }
--- a/packages/node/src/control/remote-engines.ts
+++ b/packages/node/src/control/remote-engines.ts
@@ -4,8 +4,8 @@
 import * as z from 'zod';
 
 /**
- * Record that an engine's owner publishes: [fence, running, queued, reclaimable slots, hashes of loaded
- * adapters].
+ * Record that an engine's owner publishes: [fence, running, queued, reclaimable, hashes of loaded adapters].
+ * `reclaimable` is 1 if any slot is empty or idle, else 0.
  */
 const engineRecord = z.tuple([z.number(), z.number(), z.number(), z.number(), z.array(z.number()).max(4096)]);
 export type EngineRecord = z.infer<typeof engineRecord>;
@@ -73,7 +73,7 @@
   }
 
   /** Removes the records of all engines that a node owns. */
-  forgetOwner(nodeId: string): void {
+  removeRecordsOf(nodeId: string): void {
     for (const [engineId, engine] of this.#engines)
       if (engine.owner === nodeId) this.#engines.delete(engineId);
   }
@@ -82,7 +82,7 @@
    * Removes an engine's record if it still names `owner`, because that node is unreachable or answered that
    * it does not own the engine.
    */
-  removeOwner(engineId: string, owner: string): void {
+  removeIfOwnedBy(engineId: string, owner: string): void {
     if (this.#engines.get(engineId)?.owner === owner) this.#engines.delete(engineId);
   }
 
--- a/packages/node/src/requests/key-protocol.ts
+++ b/packages/node/src/requests/key-protocol.ts
@@ -36,7 +36,8 @@
 
 /**
  * What to do with a keyed request: run it and report the outcome with `settle`, answer with the outcome of an
- * earlier run, or refuse it because no more keys can be stored.
+ * earlier run, or refuse it because no more keys can be stored. `remember` says whether the outcome is stored
+ * for later requests with the key; by default it is unless the request was not executed.
  */
 export type KeyDecision =
   | { readonly kind: 'run'; settle(outcome: KeyOutcome, remember?: boolean): void }
@@ -49,11 +50,12 @@
 }
 
 const CALL_TIMEOUT_MS = 2000;
+/** Longer than CALL_TIMEOUT_MS, because the peer answers only when the request has ended. */
 const OUTCOME_TIMEOUT_MS = 60_000;
 const UNKNOWN: OutcomeDecision = { kind: 'outcome', outcome: { kind: 'unknown' } };
 
 /**
- * Ensures that a request with an idempotency key runs at most once in the cluster. Each key has a home, a
+ * Ensures that a request with an idempotency key runs at most once over all nodes. Each key has a home, a
  * node process named by the caller, which remembers the key. Another process may run the request only after
  * the home has transferred the key to it. If the home process no longer exists, whether the request has run
  * cannot be determined, so it is not run.
@@ -182,7 +184,7 @@
   return `${member.id}~${member.processToken}`;
 }
 
-/** Under which a process stores a key that was transferred to it from another home. */
+/** Key under which a process stores an idempotency key that was transferred to it from another home. */
 function delegatedKey(home: string, key: string): string {
   return `${home}|${key}`;
 }
--- a/packages/node/src/requests/request-service.ts
+++ b/packages/node/src/requests/request-service.ts
@@ -49,12 +49,13 @@
   readonly index: ConfigurationIndex;
   readonly caller: CallerDefinition;
   readonly options: RequestOptions;
-  /** Returns the place in the caller's concurrency limit. */
+  /** Releases the caller's concurrency permit. */
   release(): void;
 }
 
 const BEARER = 'Bearer ';
 const MAX_CACHED_KEY_DIGESTS = 10_000;
+/** A larger response to a keyed request is not kept; a repeated request is then refused. */
 const MAX_RECORDED_BODY_BYTES = 65_536;
 const SERVICE_PREFIX = '/services/';
 const STREAM_PREFIX = '/v1/streams/';
--- a/packages/node/src/scheduling/engine-scheduler.ts
+++ b/packages/node/src/scheduling/engine-scheduler.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@canvasridge/clock';
 import {
-  adapterKey,
+  adapterVersionKey,
   type EngineDefinition,
   type EngineError,
   type GenerationEnd,
@@ -15,6 +15,7 @@
 import { SlotSet } from './slot-set.js';
 import { TicketQueue, type Ticket, type WaitOutcome } from './ticket-queue.js';
 
+/** Half-life of the counters that estimate the demand for each adapter. */
 const DEMAND_HALF_LIFE_MS = 30_000;
 const REPORT_PERIOD_MS = 700;
 /** Pause before pinned adapters are loaded again after a failed load. */
@@ -77,6 +78,7 @@
     return this.#queue.length;
   }
 
+  /** Number of slots that are empty or idle, so that another adapter can be loaded into them. */
   get reclaimableSlots(): number {
     return this.#slots.reclaimable;
   }
@@ -115,7 +117,7 @@
   ): Promise<Result<GenerationEnd, SchedulerError>> {
     if (!this.#acceptsWork) return err({ kind: 'not-owner', executed: 'no' });
     if (this.#queue.length >= this.#options.queueLimit()) return err({ kind: 'queue-full', executed: 'no' });
-    const key = adapterKey(work.request.model);
+    const key = adapterVersionKey(work.request.model);
     this.#demand.add(key);
     const reserved = this.#reserveSlot(key);
     if (reserved !== undefined) return this.#dispatch(work, reserved, 0, sink, signal);
--- a/packages/ownership/src/ownership-manager.ts
+++ b/packages/ownership/src/ownership-manager.ts
@@ -13,7 +13,9 @@
 export interface OwnershipEvents {
   onHeld(ownership: EngineOwnership, state: TakeoverState): void;
   onLost(ownership: EngineOwnership, reason: string): void;
-  /** Whether work of this node on the engine has an unknown outcome since the last claim. */
+  /**
+   * Whether any work of this node on the engine has ended with an unknown outcome since the last claim.
+   */
   wantsNewFence(engineId: string): boolean;
 }
 
@@ -73,6 +75,7 @@
     return this.#owned.get(engineId);
   }
 
+  /** The engines that this node owns now. */
   owned(): readonly EngineOwnership[] {
     return [...this.#owned.values()].filter((ownership) => ownership.held);
   }
@@ -125,10 +128,12 @@
     return { done: true };
   }
 
+  /** Handles a peer's request for a lease, or for its renewal, from this node as a witness. */
   handleGrant(params: z.infer<typeof grantParams>): z.infer<typeof booleanAnswer> {
     return { done: this.#witnessTable.grant(params.engineId, params.holder, params.leaseMs) };
   }
 
+  /** Handles a peer's release of a lease that this node granted as a witness. */
   handleUngrant(params: z.infer<typeof ungrantParams>): z.infer<typeof booleanAnswer> {
     this.#witnessTable.release(params.engineId, params.holder);
     return { done: true };
--- a/packages/serving/src/backend-list-updater.ts
+++ b/packages/serving/src/backend-list-updater.ts
@@ -5,7 +5,7 @@
 
 /**
  * While the publishing store is unavailable, the entries of running backends expire too. By the platform's
- * specification they are written again within this time after the store's return; a backend whose entry is
+ * protocol they are written again within this time after the store's return; a backend whose entry is
  * missing then is gone.
  */
 export const STORE_RETURN_WINDOW_MS = 2000;
@@ -49,6 +49,7 @@
  */
 export class BackendListUpdater {
   readonly #options: BackendListUpdaterOptions;
+  /** When the store last answered after entries of running backends may have expired. */
   #storeBackMs = -Infinity;
   /**
    * Until this time, a first read may find entries as restored from the backup; later reads find only running
--- a/packages/slots/src/slot-pool.ts
+++ b/packages/slots/src/slot-pool.ts
@@ -44,7 +44,7 @@
 const MAX_INDEX_AGE_MS = 8;
 /** Backlog of an engine, as a fraction of the request's objective, above which a load on another engine is considered. */
 const SHORT_BACKLOG_SHARE = 0.15;
-/** Backlog, as a fraction of the objective, above which a request stays in the pool, where it can still get another engine. */
+/** Backlog, as a fraction of the objective, above which a request keeps waiting, as it can still get another engine. */
 const LONG_BACKLOG_SHARE = 0.45;
 /** The same limit for a request that is late in any case: it may only go where it delays few requests that are not. */
 const LATE_BACKLOG_SHARE = 0.2;
@@ -218,7 +218,7 @@
     this.#refusals.scheduleCheck();
   }
 
-  /** Sets the limit that an engine states for the requests of all nodes together; undefined if it no longer states one. */
+  /** Sets the limit that an engine announces for the requests of all nodes together; undefined if it announces none now. */
   setRateLimit(engineId: string, rule: QuotaRule | undefined): void {
     const entry = this.#engines.get(engineId);
     if (entry === undefined) return;
